--- a/internal/connection/caller/cluster_test.go
+++ b/internal/connection/caller/cluster_test.go
@@ -230,7 +230,7 @@
 	if !n.up || n.paused {
 		return caller.CauseNone
 	}
-	n.engine.Awake(c.now)
+	n.engine.DetectPause(c.now)
 	p, cause := n.decode.Decode(n.engine, c.key, src, b)
 	if cause != caller.CauseNone {
 		return cause
@@ -317,7 +317,7 @@
 	for _, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
 			if u.Service.Name == service {
-				sum += n.engine.Board.Load(u.ID).Flows.Load()
+				sum += n.engine.Loads.Load(u.ID).Flows.Load()
 			}
 		}
 	}
@@ -329,7 +329,7 @@
 func (c *cluster) unlikeLoads() {
 	for i, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
-			n.engine.Board.Load(u.ID).Flows.Add(int64(u.ID>>(i%16)) & 7)
+			n.engine.Loads.Load(u.ID).Flows.Add(int64(u.ID>>(i%16)) & 7)
 		}
 	}
 }
--- a/internal/connection/caller/differential_test.go
+++ b/internal/connection/caller/differential_test.go
@@ -210,7 +210,7 @@
 	for range 60 {
 		m.c.now = m.c.now.Add(900 * time.Millisecond)
 		for _, n := range m.c.nodes {
-			n.engine.Awake(m.c.now)
+			n.engine.DetectPause(m.c.now)
 		}
 	}
 	drop := m.c.drop
--- a/internal/connection/caller/engine.go
+++ b/internal/connection/caller/engine.go
@@ -72,7 +72,7 @@
 
 	Flows    *Table
 	Requests *Requests
-	Board    *upstream.Board
+	Loads    *upstream.Board
 	Counters Counters
 }
 
@@ -89,13 +89,13 @@
 type Counters struct {
 	Drops [NumCauses]atomic.Uint64
 	// Placed counts flows given an upstream, Learned records taken from others.
-	Placed, Learned, Forwarded, Asked atomic.Uint64
+	Placed, Learned, Forwarded, Queried atomic.Uint64
 	// Adopted counts flows whose lost record was made again from an answer.
 	Adopted atomic.Uint64
 	// Conflicts counts records that contradicted one already held.
 	Conflicts atomic.Uint64
-	// Fenced counts the pauses after which records had to be confirmed.
-	Fenced atomic.Uint64
+	// Pauses counts the pauses after which records had to be confirmed.
+	Pauses atomic.Uint64
 	Ended  atomic.Uint64
 }
 
@@ -109,7 +109,7 @@
 		lease:    o.Lease,
 		Flows:    NewTable(),
 		Requests: NewRequests(),
-		Board:    upstream.NewBoard(),
+		Loads:    upstream.NewBoard(),
 	}
 	if e.policy == nil {
 		e.policy = upstream.LeastLoaded{}
@@ -140,18 +140,18 @@
 // Routing returns the routing in force, or nil.
 func (e *Engine) Routing() *bundle.Routing { return e.routing.Load() }
 
-// Awake tells the engine that the daemon sees its clock. A gap longer than the
+// DetectPause tells the engine that the daemon sees its clock. A gap longer than the
 // lease means that the process was paused: others may have taken it for dead
 // and decided without it. Everything that it knew from before must then be
 // confirmed by another holder before it is used, or a flow that was placed
 // again meanwhile would go to two upstreams.
-func (e *Engine) Awake(now time.Time) {
+func (e *Engine) DetectPause(now time.Time) {
 	at := now.Sub(e.start)
 	last := time.Duration(e.awake.Swap(int64(at)))
 	if last != 0 && at-last > e.lease {
 		e.pauses.Add(1)
 		e.fence.Store(uint32(e.seconds(now)) + 1)
-		e.Counters.Fenced.Add(1)
+		e.Counters.Pauses.Add(1)
 	}
 }
 
--- a/internal/connection/caller/flow_test.go
+++ b/internal/connection/caller/flow_test.go
@@ -277,6 +277,6 @@
 		c.settle(true)
 		get.id, get.token = 4, 4
 		Expect(c.call(holders[0], get)).To(Equal(now))
-		Expect(holders[0].engine.Counters.Fenced.Load()).To(BeEquivalentTo(1))
+		Expect(holders[0].engine.Counters.Pauses.Load()).To(BeEquivalentTo(1))
 	})
 })
--- a/internal/connection/caller/guard_test.go
+++ b/internal/connection/caller/guard_test.go
@@ -26,11 +26,11 @@
 		u := c.exchange(c.nodes[0], post)
 		home := c.homeOf(post)
 		c.now = c.now.Add(4 * time.Second)
-		asked := home.engine.Counters.Asked.Load()
+		asked := home.engine.Counters.Queried.Load()
 		Expect(c.exchange(home, next(2))).To(Equal(u))
-		Expect(home.engine.Counters.Asked.Load()).To(Equal(asked + 1))
+		Expect(home.engine.Counters.Queried.Load()).To(Equal(asked + 1))
 		Expect(c.exchange(home, next(3))).To(Equal(u))
-		Expect(home.engine.Counters.Asked.Load()).To(Equal(asked+1), "once is enough")
+		Expect(home.engine.Counters.Queried.Load()).To(Equal(asked+1), "once is enough")
 	})
 
 	// A caller is told that its booking didn't run, and it ran. Its first copy went
--- a/internal/connection/caller/holder.go
+++ b/internal/connection/caller/holder.go
@@ -25,7 +25,7 @@
 		offer(hop, &r)
 		hop.Placed = 0
 	}
-	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumHolders > 0 && !w.answer && w.view.Keeps(w.hash, peer.ID(hop.Home)) {
+	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumReplicas > 0 && !w.answer && w.view.Keeps(w.hash, peer.ID(hop.Owner)) {
 		e.copyProposal(w)
 	}
 	return e.passToHolder(w)
@@ -54,7 +54,7 @@
 // copies do so, so that the zone knows the flow if it is cut off.
 func (e *Engine) copyProposal(w *packetWork) {
 	hop := &w.p.Header.Hop
-	home := w.view.Member(peer.ID(hop.Home))
+	home := w.view.Member(peer.ID(hop.Owner))
 	if home == nil {
 		return
 	}
@@ -113,7 +113,7 @@
 func (e *Engine) passOn(w *packetWork) bool {
 	hop := &w.p.Header.Hop
 	for {
-		id, ok := hop.NextHolder()
+		id, ok := hop.NextReplica()
 		if !ok {
 			return false
 		}
@@ -189,13 +189,13 @@
 // returned too.
 func (e *Engine) keep(w *packetWork, id bundle.UpstreamID, unsure bool) (rec Record, fresh bool) {
 	hop := &w.p.Header.Hop
-	home := w.view.Member(peer.ID(hop.Home))
+	home := w.view.Member(peer.ID(hop.Owner))
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		e.holds(r)
 		if !found || r.State != StateFirm || hop.Placed > r.Placed {
 			e.replace(r, told{upstream: id, placed: hop.Placed, unsure: unsure}, w.seconds)
 			fresh = true
-			if peer.ID(hop.Home) != e.self {
+			if peer.ID(hop.Owner) != e.self {
 				r.Flags |= RecordBackup
 			}
 			if home != nil && home.ID != e.self && hop.Found == 0 && !hop.Has(geneve.FlagOverruled) {
@@ -214,7 +214,7 @@
 
 // tellHome lets the home know which upstream holds the flow.
 func (e *Engine) tellHome(w *packetWork, r *Record) {
-	home := peer.ID(w.p.Header.Hop.Home)
+	home := peer.ID(w.p.Header.Hop.Owner)
 	if home == e.self {
 		return
 	}
@@ -243,6 +243,6 @@
 		flags |= geneve.FlagUnsure
 	}
 	return geneve.Hop{
-		Kind: geneve.KindLearn, Flags: flags, Upstream: r.Upstream, Placed: r.Placed, Home: uint64(self),
+		Kind: geneve.KindLearn, Flags: flags, Upstream: r.Upstream, Placed: r.Placed, Owner: uint64(self),
 	}
 }
--- a/internal/connection/caller/home.go
+++ b/internal/connection/caller/home.go
@@ -90,7 +90,7 @@
 			return false
 		}
 		id = u.ID
-		e.Board.Placed(id, w.now.Add(recentFlows))
+		e.Loads.Placed(id, w.now.Add(recentFlows))
 	}
 	e.uncount(r)
 	*r = Record{Upstream: id, State: StateTentative, Placed: unixSeconds(w.now), Told: w.seconds, Flags: RecordLocal}
@@ -108,7 +108,7 @@
 func (e *Engine) chooseAlone(w *packetWork, r *Record) {
 	if u := e.choose(w, 0); u != nil {
 		r.Upstream = u.ID
-		e.Board.Placed(u.ID, w.now.Add(recentFlows))
+		e.Loads.Placed(u.ID, w.now.Add(recentFlows))
 	}
 }
 
@@ -143,7 +143,7 @@
 		if u.ID == not || !w.view.Reaches(u.Zone) {
 			continue
 		}
-		candidates = append(candidates, upstream.Candidate{Route: u, Load: e.Board.Load(u.ID)})
+		candidates = append(candidates, upstream.Candidate{Route: u, Load: e.Loads.Load(u.ID)})
 	}
 	return e.policy.Choose(candidates, uint64(w.hash))
 }
@@ -153,7 +153,7 @@
 // nobody had one.
 func (e *Engine) ask(w *packetWork, r *Record) Cause {
 	h := w.p.Header
-	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Upstream: r.Upstream, Placed: r.Placed, Home: uint64(e.self)}
+	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Upstream: r.Upstream, Placed: r.Placed, Owner: uint64(e.self)}
 	if w.answer {
 		h.Hop.Flags |= geneve.FlagAnswer
 	}
@@ -175,7 +175,7 @@
 		w.view.AddAll(w.hash, &h.Hop)
 	}
 	w.p.Header.Hop = h.Hop
-	e.Counters.Asked.Add(1)
+	e.Counters.Queried.Add(1)
 	e.backupLast(w, r)
 	return e.passToHolder(w)
 }
@@ -295,7 +295,7 @@
 		return
 	}
 	r.Flags |= RecordCounted
-	e.Board.Load(r.Upstream).Flows.Add(1)
+	e.Loads.Load(r.Upstream).Flows.Add(1)
 }
 
 // uncount takes a record out of its upstream's load.
@@ -304,5 +304,5 @@
 		return
 	}
 	r.Flags &^= RecordCounted
-	e.Board.Load(r.Upstream).Flows.Add(-1)
+	e.Loads.Load(r.Upstream).Flows.Add(-1)
 }
--- a/internal/connection/caller/learn.go
+++ b/internal/connection/caller/learn.go
@@ -11,7 +11,7 @@
 // its receiver has said so.
 func (e *Engine) learn(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
-	sender := w.view.Member(peer.ID(hop.Home))
+	sender := w.view.Member(peer.ID(hop.Owner))
 	var mine Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		if !found || r.State != StateFirm || supersedes(hop, r) {
--- a/internal/connection/caller/placer.go
+++ b/internal/connection/caller/placer.go
@@ -13,7 +13,7 @@
 // service. One place that knows of all new flows spreads them best.
 func (e *Engine) askPlacer(w *packetWork, r *Record) Cause {
 	hop := &w.p.Header.Hop
-	*hop = geneve.Hop{Kind: geneve.KindChoose, Placed: r.Placed, Home: uint64(e.self), Count: hop.Count + 1}
+	*hop = geneve.Hop{Kind: geneve.KindChoose, Placed: r.Placed, Owner: uint64(e.self), Count: hop.Count + 1}
 	p := w.view.Placer(w.service.VNI)
 	if p == nil || p.ID == e.self {
 		return e.placer(w)
@@ -27,7 +27,7 @@
 // placed elsewhere while the first copy is under way.
 func (e *Engine) placer(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
-	home := w.view.Member(peer.ID(hop.Home))
+	home := w.view.Member(peer.ID(hop.Owner))
 	if home == nil {
 		return CauseNoFlow
 	}
@@ -47,7 +47,7 @@
 		}
 		e.holds(r)
 		rec = *r
-		e.Board.Placed(u.ID, w.now.Add(recentFlows))
+		e.Loads.Placed(u.ID, w.now.Add(recentFlows))
 		return true
 	})
 	if rec.Upstream == 0 {
@@ -94,19 +94,19 @@
 	ids := t.UpstreamIDs()
 	counts := make([]uint32, len(ids))
 	for i, id := range ids {
-		counts[i] = uint32(max(0, e.Board.Load(id).Flows.Load()))
+		counts[i] = uint32(max(0, e.Loads.Load(id).Flows.Load()))
 	}
 	return t.Version, counts
 }
 
-// Heard takes in what another member told of its flows under a version.
-func (e *Engine) Heard(from upstream.MemberID, v bundle.Version, counts []uint32) {
+// ReceiveFlowCounts takes in what another member told of its flows under a version.
+func (e *Engine) ReceiveFlowCounts(from upstream.MemberID, v bundle.Version, counts []uint32) {
 	if t := e.routing.Load(); t != nil && t.Version == v {
-		e.Board.Heard(from, t.UpstreamIDs(), counts)
+		e.Loads.Heard(from, t.UpstreamIDs(), counts)
 	}
 }
 
-// ExpireRecent forgets flows that count by themselves no longer.
-func (e *Engine) ExpireRecent(now time.Time) {
-	e.Board.Expire(now)
+// ExpireRecentPlacements forgets flows that count by themselves no longer.
+func (e *Engine) ExpireRecentPlacements(now time.Time) {
+	e.Loads.Expire(now)
 }
--- a/internal/connection/caller/refresh.go
+++ b/internal/connection/caller/refresh.go
@@ -43,7 +43,7 @@
 // refreshed takes in the home's record from a packet on its way and passes it on.
 func (e *Engine) refreshed(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
-	home := w.view.Member(peer.ID(hop.Home))
+	home := w.view.Member(peer.ID(hop.Owner))
 	var mine Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		if !found || r.State != StateFirm || supersedes(hop, r) {
--- a/internal/connection/caller/request_test.go
+++ b/internal/connection/caller/request_test.go
@@ -89,7 +89,7 @@
 		u := c.call(c.nodes[0], r)
 		home := c.homeOf(r)
 		c.now = c.now.Add(4 * time.Second)
-		home.engine.Awake(c.now)
+		home.engine.DetectPause(c.now)
 		c.sweep()
 		Expect(u).To(HaveLen(1))
 		Expect(home.engine.Requests.Open()).To(BeZero())
--- a/internal/connection/caller/requests.go
+++ b/internal/connection/caller/requests.go
@@ -104,7 +104,7 @@
 		// the flow before.
 		return CauseNone
 	}
-	load := e.Board.Load(rec.Upstream)
+	load := e.Loads.Load(rec.Upstream)
 	limit, reachable := int64(1), true
 	placed := rec.Upstream != 0
 	if u := w.routing.Upstream(rec.Upstream); u != nil {
@@ -175,7 +175,7 @@
 func (e *Engine) letGo(r *Request) {
 	if r.holdsSlot {
 		r.holdsSlot = false
-		e.Board.Load(r.Upstream).Requests.Add(-1)
+		e.Loads.Load(r.Upstream).Requests.Add(-1)
 	}
 }
 
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -20,12 +20,12 @@
 
 // SweepResult says how far a sweep of a shard got.
 type SweepResult struct {
-	// Told counts the records that others were told and must confirm.
-	Told int
+	// AwaitingConfirmation counts the records that others were told and must confirm.
+	AwaitingConfirmation int
 	// Sent counts all that was told.
 	Sent int
-	// Whole is set if the budget sufficed for all of them.
-	Whole bool
+	// Complete is set if the budget sufficed for all of them.
+	Complete bool
 }
 
 // Sweep works through one shard: it ends idle flows and expired requests, and
@@ -34,11 +34,11 @@
 func (e *Engine) Sweep(now time.Time, shard, budget int, out []Output) ([]Output, SweepResult) {
 	t := e.routing.Load()
 	if t == nil {
-		return out, SweepResult{Whole: true}
+		return out, SweepResult{Complete: true}
 	}
 	s := sweep{e: e, view: e.view.Load(), routing: t, now: e.seconds(now), budget: budget, out: out}
 	e.Flows.Visit(shard, s.visit)
-	result := SweepResult{Told: s.told, Sent: budget - s.budget, Whole: !s.short}
+	result := SweepResult{AwaitingConfirmation: s.told, Sent: budget - s.budget, Complete: !s.short}
 	return e.expire(now, shard, s.out), result
 }
 
--- a/internal/connection/caller/table_test.go
+++ b/internal/connection/caller/table_test.go
@@ -109,7 +109,7 @@
 		for shard := range n.engine.Flows.Shards() {
 			out, result := n.engine.Sweep(c.now, shard, 0, nil)
 			Expect(out).To(BeEmpty())
-			if !result.Whole {
+			if !result.Complete {
 				short++
 				out, result = n.engine.Sweep(c.now, shard, 1, nil)
 				Expect(out).To(HaveLen(1))
@@ -125,7 +125,7 @@
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(time.Second)
 		for _, n := range c.nodes {
-			n.engine.Awake(c.now)
+			n.engine.DetectPause(c.now)
 		}
 	}
 	c.sweep()
--- a/internal/connection/geneve/geneve_test.go
+++ b/internal/connection/geneve/geneve_test.go
@@ -14,9 +14,9 @@
 
 func hopHeader() geneve.Header {
 	h := geneve.Header{VNI: 0xabcdef, EtherType: geneve.EtherTypeIPv6, Control: true}
-	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Flags: geneve.FlagPlace, Count: 3, Upstream: 7, Home: 9}
+	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Flags: geneve.FlagPlace, Count: 3, Upstream: 7, Owner: 9}
 	for id := range uint64(5) {
-		h.Hop.AddHolder(id + 100)
+		h.Hop.AddReplica(id + 100)
 	}
 	return h
 }
@@ -62,10 +62,10 @@
 	It("moves a holder to the end and keeps each once", func() {
 		var hop geneve.Hop
 		for _, id := range []uint64{1, 2, 3, 2} {
-			hop.AddHolder(id)
+			hop.AddReplica(id)
 		}
 		hop.MoveLast(1)
-		Expect(hop.Holders[:hop.NumHolders]).To(Equal([]uint64{2, 3, 1}))
+		Expect(hop.Replicas[:hop.NumReplicas]).To(Equal([]uint64{2, 3, 1}))
 	})
 })
 
--- a/internal/connection/geneve/hop.go
+++ b/internal/connection/geneve/hop.go
@@ -18,8 +18,8 @@
 	hopFixedBytes = 32
 	tagBytes      = 8
 	memberBytes   = 8
-	// MaxHolders is how many members one hop option names at most.
-	MaxHolders = 10
+	// MaxReplicas is how many members one hop option names at most.
+	MaxReplicas = 10
 	// signedInner is how much of the inner packet the tag covers: the IP and
 	// transport headers, which name the flow.
 	signedInner = 48
@@ -88,12 +88,12 @@
 	// Placed is when the flow was placed at Found, or at Upstream if that is zero,
 	// in seconds since 1970. Of two records of a flow the later one holds.
 	Placed uint32
-	// Home is the member that is told who has the record.
-	Home uint64
-	// Holders are the members yet to be asked, the next one first.
-	Holders [MaxHolders]uint64
-	// NumHolders is how many of Holders are set.
-	NumHolders uint8
+	// Owner is the member that is told who has the record.
+	Owner uint64
+	// Replicas are the members yet to be asked, the next one first.
+	Replicas [MaxReplicas]uint64
+	// NumReplicas is how many of Holders are set.
+	NumReplicas uint8
 }
 
 // Has reports whether all of flags are set.
@@ -101,43 +101,43 @@
 	return h.Flags&flags == flags
 }
 
-// AddHolder appends a member that isn't there yet, as far as there is room.
-func (h *Hop) AddHolder(id uint64) {
-	for _, have := range h.Holders[:h.NumHolders] {
+// AddReplica appends a member that isn't there yet, as far as there is room.
+func (h *Hop) AddReplica(id uint64) {
+	for _, have := range h.Replicas[:h.NumReplicas] {
 		if have == id {
 			return
 		}
 	}
-	if h.NumHolders == MaxHolders {
+	if h.NumReplicas == MaxReplicas {
 		return
 	}
-	h.Holders[h.NumHolders] = id
-	h.NumHolders++
+	h.Replicas[h.NumReplicas] = id
+	h.NumReplicas++
 }
 
 // MoveLast puts a member at the end of the list, whether or not it is there.
 func (h *Hop) MoveLast(id uint64) {
-	kept := h.Holders[:0]
-	for _, have := range h.Holders[:h.NumHolders] {
+	kept := h.Replicas[:0]
+	for _, have := range h.Replicas[:h.NumReplicas] {
 		if have != id {
 			kept = append(kept, have)
 		}
 	}
-	if len(kept) == MaxHolders {
-		kept = kept[:MaxHolders-1]
+	if len(kept) == MaxReplicas {
+		kept = kept[:MaxReplicas-1]
 	}
 	kept = append(kept, id)
-	h.NumHolders = uint8(len(kept))
+	h.NumReplicas = uint8(len(kept))
 }
 
-// NextHolder takes the first holder off the list.
-func (h *Hop) NextHolder() (uint64, bool) {
-	if h.NumHolders == 0 {
+// NextReplica takes the first holder off the list.
+func (h *Hop) NextReplica() (uint64, bool) {
+	if h.NumReplicas == 0 {
 		return 0, false
 	}
-	id := h.Holders[0]
-	copy(h.Holders[:], h.Holders[1:h.NumHolders])
-	h.NumHolders--
+	id := h.Replicas[0]
+	copy(h.Replicas[:], h.Replicas[1:h.NumReplicas])
+	h.NumReplicas--
 	return id, true
 }
 
@@ -146,7 +146,7 @@
 		return ErrHopOption
 	}
 	n := int(b[3])
-	if n > MaxHolders || len(b) != hopFixedBytes+n*memberBytes+tagBytes {
+	if n > MaxReplicas || len(b) != hopFixedBytes+n*memberBytes+tagBytes {
 		return ErrHopOption
 	}
 	h.Kind = Kind(b[0])
@@ -155,28 +155,28 @@
 	}
 	h.Flags = Flags(b[1])
 	h.Count = b[2]
-	h.NumHolders = b[3]
+	h.NumReplicas = b[3]
 	h.Upstream = bundle.UpstreamID(binary.BigEndian.Uint64(b[4:]))
-	h.Home = binary.BigEndian.Uint64(b[12:])
+	h.Owner = binary.BigEndian.Uint64(b[12:])
 	h.Found = bundle.UpstreamID(binary.BigEndian.Uint64(b[20:]))
 	h.Placed = binary.BigEndian.Uint32(b[28:])
 	for i := range n {
-		h.Holders[i] = binary.BigEndian.Uint64(b[hopFixedBytes+i*memberBytes:])
+		h.Replicas[i] = binary.BigEndian.Uint64(b[hopFixedBytes+i*memberBytes:])
 	}
 	return nil
 }
 
 func (h *Hop) append(b []byte, k *Key, vni bundle.VNI, inner []byte) []byte {
-	n := hopFixedBytes + int(h.NumHolders)*memberBytes + tagBytes
+	n := hopFixedBytes + int(h.NumReplicas)*memberBytes + tagBytes
 	b = binary.BigEndian.AppendUint16(b, hopClass)
 	b = append(b, hopType|criticalType, byte(n/wordBytes))
 	start := len(b)
-	b = append(b, byte(h.Kind), byte(h.Flags), h.Count, h.NumHolders)
+	b = append(b, byte(h.Kind), byte(h.Flags), h.Count, h.NumReplicas)
 	b = binary.BigEndian.AppendUint64(b, uint64(h.Upstream))
-	b = binary.BigEndian.AppendUint64(b, h.Home)
+	b = binary.BigEndian.AppendUint64(b, h.Owner)
 	b = binary.BigEndian.AppendUint64(b, uint64(h.Found))
 	b = binary.BigEndian.AppendUint32(b, h.Placed)
-	for _, id := range h.Holders[:h.NumHolders] {
+	for _, id := range h.Replicas[:h.NumReplicas] {
 		b = binary.BigEndian.AppendUint64(b, id)
 	}
 	return binary.BigEndian.AppendUint64(b, k.tag(vni, b[start:], inner))
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -253,7 +253,7 @@
 // and has been there for long: a record was given to it or to one before it.
 func (v *View) addRanked(h FlowHash, z bundle.Zone, hop *geneve.Hop) {
 	f := filter{zone: z, not: v.Self, leaving: true}
-	for range geneve.MaxHolders {
+	for range geneve.MaxReplicas {
 		m := v.first(h, f)
 		if m == nil {
 			return
@@ -284,7 +284,7 @@
 
 func (v *View) addHolder(hop *geneve.Hop, m *Member) {
 	if m != nil {
-		hop.AddHolder(uint64(m.ID))
+		hop.AddReplica(uint64(m.ID))
 	}
 }
 
--- a/internal/process/daemon/admin.go
+++ b/internal/process/daemon/admin.go
@@ -87,7 +87,7 @@
 	upstreams := t.Upstreams()
 	out := make([]status.UpstreamStatus, 0, len(upstreams))
 	for _, u := range upstreams {
-		l := d.engine.Board.Load(u.ID)
+		l := d.engine.Loads.Load(u.ID)
 		out = append(out, status.UpstreamStatus{
 			Service: u.Service.Name, Name: u.Name, Zone: u.Zone, Drain: u.Drain, Slots: u.Slots,
 			Flows: l.Flows.Load(), Requests: l.Requests.Load(),
@@ -117,13 +117,13 @@
 	count("fescueshed_packets_stale_total", d.fabric.Counters.Stale.Load)
 	count("fescueshed_packets_send_errors_total", d.fabric.Counters.Failed.Load)
 	count("fescueshed_packets_forwarded_to_home_total", c.Forwarded.Load)
-	count("fescueshed_packets_asked_total", c.Asked.Load)
+	count("fescueshed_packets_asked_total", c.Queried.Load)
 	count("fescueshed_flows_placed_total", c.Placed.Load)
 	count("fescueshed_flows_learned_total", c.Learned.Load)
 	count("fescueshed_flows_adopted_total", c.Adopted.Load)
 	count("fescueshed_flows_ended_total", c.Ended.Load)
 	count("fescueshed_record_conflicts_total", c.Conflicts.Load)
-	count("fescueshed_pauses_total", c.Fenced.Load)
+	count("fescueshed_pauses_total", c.Pauses.Load)
 	count("fescueshed_control_received_bytes_total", d.control.inBytes.Load)
 	count("fescueshed_control_sent_bytes_total", d.control.outBytes.Load)
 	count("fescueshed_control_dropped_total", d.control.dropped.Load)
--- a/internal/process/daemon/control.go
+++ b/internal/process/daemon/control.go
@@ -79,7 +79,7 @@
 		return m.Receive(time.Now(), from, msg)
 	})
 	if msg.Kind == peer.KindPing {
-		c.d.engine.Heard(upstream.MemberID(msg.From.ID), msg.Bundle, msg.Flows)
+		c.d.engine.ReceiveFlowCounts(upstream.MemberID(msg.From.ID), msg.Bundle, msg.Flows)
 	}
 	c.d.bundles.heard(msg.Bundle, msg.From.RPC)
 }
@@ -94,7 +94,7 @@
 		view = c.members.View()
 		old := c.d.engine.View()
 		c.d.engine.SetView(view)
-		c.d.engine.Board.Keep(memberIDs(view))
+		c.d.engine.Loads.Keep(memberIDs(view))
 		logChanges(old, view)
 	}
 	c.mu.Unlock()
@@ -119,7 +119,7 @@
 }
 
 func (c *control) tick(now time.Time) {
-	c.d.engine.ExpireRecent(now)
+	c.d.engine.ExpireRecentPlacements(now)
 	v, flows := c.d.engine.FlowCounts()
 	c.do(func(m *peer.Membership) []peer.Envelope {
 		m.SetBundle(v)
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -64,7 +64,7 @@
 
 func (d *Daemon) startTimer(context.Context) (func(), error) {
 	t, stop := timer.New()
-	t.Subscribe(awakePeriod, d.engine.Awake)
+	t.Subscribe(awakePeriod, d.engine.DetectPause)
 	t.Subscribe(tickPeriod, d.control.tick)
 	t.Subscribe(sweepPeriod, d.sweeper.step)
 	return stop, nil
--- a/internal/process/daemon/sweeper.go
+++ b/internal/process/daemon/sweeper.go
@@ -46,8 +46,8 @@
 	out, result := s.d.engine.Sweep(now, s.shard, budget, s.out[:0])
 	s.out = out
 	s.d.fabric.Send(out)
-	s.told += result.Told
-	if result.Whole {
+	s.told += result.AwaitingConfirmation
+	if result.Complete {
 		s.next()
 	}
 	return result
--- a/internal/process/fabric/fabric.go
+++ b/internal/process/fabric/fabric.go
@@ -168,9 +168,9 @@
 			continue
 		}
 		now := time.Now()
-		w.f.opts.Engine.Awake(now)
+		w.f.opts.Engine.DetectPause(now)
 		w.f.Counters.In.Add(uint64(n))
-		if w.backlog.stale(w.f.opts.Engine.Counters.Fenced.Load(), n, len(w.in)) {
+		if w.backlog.stale(w.f.opts.Engine.Counters.Pauses.Load(), n, len(w.in)) {
 			w.f.Counters.Stale.Add(uint64(n))
 			continue
 		}
