--- a/internal/connection/caller/cause.go
+++ b/internal/connection/caller/cause.go
@@ -9,18 +9,18 @@
 	CauseMalformedGeneve
 	CauseMalformedIP
 	CauseMalformedCoAP
-	CauseStranger
+	CauseUnknownSender
 	CauseBadTag
 	CauseNoBundle
 	CauseWrongService
 	CauseNoFlow
 	CauseWrongUpstream
 	CauseTokenNotOpen
-	CauseUpstreamGone
+	CauseUpstreamRemoved
 	CauseNoUpstream
 	CauseTooManyHops
 	CauseRefused
-	CauseUnknown
+	CauseOutcomeUnknown
 	CauseSuperseded
 	CauseUnreachable
 	causeEnd
--- a/internal/connection/caller/cluster_test.go
+++ b/internal/connection/caller/cluster_test.go
@@ -58,8 +58,8 @@
 	routing *bundle.Routing
 	// drop says which packets between nodes are lost.
 	drop func(from, to *node) bool
-	// apart says which zones don't reach each other.
-	apart func(a, b bundle.Zone) bool
+	// partitioned says which zones don't reach each other.
+	partitioned func(a, b bundle.Zone) bool
 
 	queue    []caller.Output
 	queueSrc []netip.Addr
@@ -67,9 +67,9 @@
 	upstreamGot []run
 	callerGot   []message.Message
 	resets      int
-	passes      int
-	// told counts packets that carry a record and no caller's bytes.
-	told int
+	hops        int
+	// controlPackets counts packets that carry a record and no caller's bytes.
+	controlPackets int
 }
 
 func testBundle() *bundle.Bundle {
@@ -102,7 +102,7 @@
 	for range n {
 		c.add()
 	}
-	c.settle(false)
+	c.syncViews(false)
 	return c
 }
 
@@ -125,8 +125,8 @@
 	n.engine.SetRouting(c.routing)
 }
 
-// settle gives each node that is up the same view of those that are.
-func (c *cluster) settle(recent bool) {
+// syncViews gives each node that is up the same view of those that are.
+func (c *cluster) syncViews(recent bool) {
 	var members []peer.Member
 	for _, n := range c.nodes {
 		if n.up && !n.paused {
@@ -190,29 +190,29 @@
 	for len(c.queue) > 0 {
 		o, src := c.queue[0], c.queueSrc[0]
 		c.queue, c.queueSrc = c.queue[1:], c.queueSrc[1:]
-		c.carry(src, &o)
+		c.transmit(src, &o)
 	}
 }
 
-func (c *cluster) carry(src netip.Addr, o *caller.Output) {
+func (c *cluster) transmit(src netip.Addr, o *caller.Output) {
 	if o.To == fabricAt {
 		c.toCaller(o)
 		return
 	}
 	from := c.nodeAt(src)
 	if u := c.routing.UpstreamAt(o.To.Addr()); u != nil {
-		if c.apart == nil || !c.apart(from.member.Zone, u.Zone) {
+		if c.partitioned == nil || !c.partitioned(from.member.Zone, u.Zone) {
 			c.toUpstream(u, o)
 		}
 		return
 	}
 	to := c.nodeAt(o.To.Addr())
-	if to == nil || c.apart != nil && c.apart(from.member.Zone, to.member.Zone) || c.drop != nil && c.drop(from, to) {
+	if to == nil || c.partitioned != nil && c.partitioned(from.member.Zone, to.member.Zone) || c.drop != nil && c.drop(from, to) {
 		return
 	}
-	c.passes++
+	c.hops++
 	if o.Header.Control {
-		c.told++
+		c.controlPackets++
 	}
 	c.receive(to, src, geneve.Append(nil, &o.Header, c.key, o.Inner))
 }
@@ -268,17 +268,17 @@
 	c.callerGot = append(c.callerGot, m)
 }
 
-// holders returns the nodes whose records a flow lives by: firm ones, and its
+// replicas returns the nodes whose records a flow lives by: firm ones, and its
 // home's proposal.
-func (c *cluster) holders(r request) []*node {
+func (c *cluster) replicas(r request) []*node {
 	return c.nodesWith(r, func(rec *caller.Record) bool {
-		return rec.State == caller.StateFirm || rec.State == caller.StateTentative && rec.Flags&caller.RecordBackup == 0
+		return rec.State == caller.StateCommitted || rec.State == caller.StateTentative && rec.Flags&caller.RecordBackup == 0
 	})
 }
 
-// knowers returns the nodes that know the flow's upstream at all: holders, those
+// nodesWithUpstream returns the nodes that know the flow's upstream at all: holders, those
 // that the first packet passed, and the one that chose.
-func (c *cluster) knowers(r request) []*node {
+func (c *cluster) nodesWithUpstream(r request) []*node {
 	return c.nodesWith(r, func(rec *caller.Record) bool { return rec.State != caller.StateEnded })
 }
 
@@ -304,8 +304,8 @@
 	panic("no other node")
 }
 
-// homeOf returns the node that is home of a flow in the first node's view.
-func (c *cluster) homeOf(r request) *node {
+// ownerOf returns the node that is home of a flow in the first node's view.
+func (c *cluster) ownerOf(r request) *node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
 	return c.nodeAt(c.nodes[0].engine.View().Home(k.Hash()).Data.Addr())
@@ -324,9 +324,9 @@
 	return sum
 }
 
-// unlikeLoads makes each node prefer other upstreams, so that two nodes don't
+// skewLoads makes each node prefer other upstreams, so that two nodes don't
 // choose the same one by chance.
-func (c *cluster) unlikeLoads() {
+func (c *cluster) skewLoads() {
 	for i, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
 			n.engine.Loads.Load(u.ID).Flows.Add(int64(u.ID>>(i%16)) & 7)
@@ -334,22 +334,22 @@
 	}
 }
 
-// routeOf returns the nodes that the first packet of a flow goes past.
-func (c *cluster) routeOf(r request) []*node {
+// firstPacketPath returns the nodes that the first packet of a flow goes past.
+func (c *cluster) firstPacketPath(r request) []*node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
 	v := c.nodes[0].engine.View()
-	home := c.homeOf(r)
+	owner := c.ownerOf(r)
 	out := make([]*node, 1, 1+len(zones))
-	out[0] = home
+	out[0] = owner
 	for _, z := range zones {
-		out = append(out, c.nodeAt(v.Replica(k.Hash(), z, home.member.ID).Data.Addr()))
+		out = append(out, c.nodeAt(v.Replica(k.Hash(), z, owner.member.ID).Data.Addr()))
 	}
 	return out
 }
 
-// repeat sends a request as its caller does: once more if no upstream got it.
-func (c *cluster) repeat(n *node, r request) []string {
+// callWithRetry sends a request as its caller does: once more if no upstream got it.
+func (c *cluster) callWithRetry(n *node, r request) []string {
 	u := c.call(n, r)
 	if len(u) > 0 {
 		return u
--- a/internal/connection/caller/decoder.go
+++ b/internal/connection/caller/decoder.go
@@ -29,7 +29,7 @@
 		return nil, CauseBadTag
 	}
 	p.CoAP = coap.Message{}
-	if hop == geneve.KindLearn || hop == geneve.KindPropose {
+	if hop == geneve.KindReplicate || hop == geneve.KindPropose {
 		if d.ip.DecodeHeaders(inner, &p.IP) != nil {
 			return nil, CauseMalformedIP
 		}
--- a/internal/connection/caller/ends_test.go
+++ b/internal/connection/caller/endpoints_test.go
@@ -115,8 +115,8 @@
 	return names
 }
 
-// back sends a segment with the same flags from an upstream.
-func (c *cluster) back(n *node, upstream string, p ip.Packet) {
+// segmentFromUpstream sends a segment with the same flags from an upstream.
+func (c *cluster) segmentFromUpstream(n *node, upstream string, p ip.Packet) {
 	c.inject(n, c.upstreamAddr(upstream), vniStream, tcpBytes(p.Dst, p.Src, p.TCPFlags, ""))
 }
 
--- a/internal/connection/caller/engine.go
+++ b/internal/connection/caller/engine.go
@@ -62,10 +62,10 @@
 
 	view    atomic.Pointer[numberedView]
 	routing atomic.Pointer[bundle.Routing]
-	// awake is when the daemon last saw its clock, in nanoseconds since start.
-	awake atomic.Int64
-	// fence is the time before which requests are forgotten.
-	fence atomic.Uint32
+	// lastTick is when the daemon last saw its clock, in nanoseconds since start.
+	lastTick atomic.Int64
+	// resumedAt is the time before which requests are forgotten.
+	resumedAt atomic.Uint32
 	// pauses counts the pauses of the process. Records from before the last one
 	// must be confirmed by others.
 	pauses atomic.Uint32
@@ -147,10 +147,10 @@
 // again meanwhile would go to two upstreams.
 func (e *Engine) DetectPause(now time.Time) {
 	at := now.Sub(e.start)
-	last := time.Duration(e.awake.Swap(int64(at)))
+	last := time.Duration(e.lastTick.Swap(int64(at)))
 	if last != 0 && at-last > e.lease {
 		e.pauses.Add(1)
-		e.fence.Store(uint32(e.seconds(now)) + 1)
+		e.resumedAt.Store(uint32(e.seconds(now)) + 1)
 		e.Counters.Pauses.Add(1)
 	}
 }
@@ -207,18 +207,18 @@
 	w.key = KeyOf(w.p.Header.VNI, &w.p.IP, w.answer)
 	w.hash = w.key.Hash()
 	switch w.p.Header.Hop.Kind {
-	case geneve.KindLearn:
-		return e.learn(w)
-	case geneve.KindAsk:
-		return e.holder(w)
-	case geneve.KindChoose:
-		return e.placer(w)
-	case geneve.KindChosen:
-		return e.chosen(w)
+	case geneve.KindReplicate:
+		return e.handleReplicate(w)
+	case geneve.KindQuery:
+		return e.handleQuery(w)
+	case geneve.KindPlacementRequest:
+		return e.handlePlacementRequest(w)
+	case geneve.KindPlacementReply:
+		return e.handlePlacementReply(w)
 	case geneve.KindRefresh:
-		return e.refreshed(w)
+		return e.handleRefresh(w)
 	case geneve.KindPropose:
-		e.copyProposal(w)
+		e.storeProposal(w)
 		return CauseNone
 	default:
 		return e.route(w)
@@ -242,7 +242,7 @@
 	}
 	u := w.routing.UpstreamAt(w.p.From)
 	if u == nil {
-		return CauseStranger
+		return CauseUnknownSender
 	}
 	// The sender's service must be the packet's, or an upstream could answer for
 	// another service by writing its VNI.
@@ -276,9 +276,9 @@
 // route takes a packet to its home. A daemon that holds a firm record acts as
 // home even if the view says otherwise: a flow's upstream never changes.
 func (e *Engine) route(w *packetWork) Cause {
-	home := w.view.Home(w.hash)
-	if home == nil || home.ID == e.self || e.hasFirm(w) {
-		return e.home(w)
+	owner := w.view.Home(w.hash)
+	if owner == nil || owner.ID == e.self || e.hasCommitted(w) {
+		return e.handleAsOwner(w)
 	}
 	hop := &w.p.Header.Hop
 	if hop.Count >= maxHops {
@@ -291,56 +291,56 @@
 		h.Hop.Flags |= geneve.FlagAnswer
 	}
 	e.Counters.Forwarded.Add(1)
-	w.send(home.Data, h, w.p.Inner)
+	w.send(owner.Data, h, w.p.Inner)
 	return CauseNone
 }
 
-func (e *Engine) hasFirm(w *packetWork) bool {
+func (e *Engine) hasCommitted(w *packetWork) bool {
 	if w.p.Header.Hop.Kind == geneve.KindNone {
 		return false
 	}
 	r, ok := e.Flows.Get(&w.key, w.hash)
-	return ok && r.State == StateFirm && !e.fenced(&r)
+	return ok && r.State == StateCommitted && !e.predatesPause(&r)
 }
 
-// fenced reports whether a record is from before a pause of this process.
-func (e *Engine) fenced(r *Record) bool {
-	return r.Pauses != uint8(e.pauses.Load())
+// predatesPause reports whether a record is from before a pause of this process.
+func (e *Engine) predatesPause(r *Record) bool {
+	return r.PauseCount != uint8(e.pauses.Load())
 }
 
-// holds notes that a record is known to hold now.
-func (e *Engine) holds(r *Record) {
-	r.Pauses = uint8(e.pauses.Load())
+// markValid notes that a record is known to hold now.
+func (e *Engine) markValid(r *Record) {
+	r.PauseCount = uint8(e.pauses.Load())
 }
 
 func (w *packetWork) send(to netip.AddrPort, h geneve.Header, inner []byte) {
 	w.out = append(w.out, Output{To: to, Header: h, Inner: inner})
 }
 
-// plain returns the header of a packet that leaves the daemons.
-func (w *packetWork) plain() geneve.Header {
+// headerWithoutHop returns the header of a packet that leaves the daemons.
+func (w *packetWork) headerWithoutHop() geneve.Header {
 	return geneve.Header{VNI: w.p.Header.VNI, EtherType: w.p.Header.EtherType}
 }
 
 // deliver sends a call to the upstream or an answer to the fabric.
 func (e *Engine) deliver(w *packetWork, id bundle.UpstreamID) Cause {
 	if w.answer {
-		return e.toCaller(w, w.p.Inner)
+		return e.sendToCaller(w, w.p.Inner)
 	}
 	u := w.routing.Upstream(id)
 	if u == nil || u.Service != w.service {
-		return CauseUpstreamGone
+		return CauseUpstreamRemoved
 	}
-	w.send(u.Address, w.plain(), w.p.Inner)
+	w.send(u.Address, w.headerWithoutHop(), w.p.Inner)
 	return CauseNone
 }
 
-// toCaller sends a packet to the fabric. Flows are spread over its addresses.
-func (e *Engine) toCaller(w *packetWork, inner []byte) Cause {
+// sendToCaller sends a packet to the fabric. Flows are spread over its addresses.
+func (e *Engine) sendToCaller(w *packetWork, inner []byte) Cause {
 	if len(e.fabrics) == 0 {
-		return CauseStranger
+		return CauseUnknownSender
 	}
-	w.send(e.fabrics[uint64(w.hash)%uint64(len(e.fabrics))], w.plain(), inner)
+	w.send(e.fabrics[uint64(w.hash)%uint64(len(e.fabrics))], w.headerWithoutHop(), inner)
 	return CauseNone
 }
 
--- a/internal/connection/caller/flow_test.go
+++ b/internal/connection/caller/flow_test.go
@@ -30,7 +30,7 @@
 
 	It("has a holder in each zone, and another one in its home's", func() {
 		u := c.call(c.nodes[0], post)
-		holders := c.knowers(post)
+		holders := c.nodesWithUpstream(post)
 		Expect(len(holders)).To(BeNumerically(">=", 4))
 		zonesOfHolders := make([]any, 0, len(holders))
 		for _, h := range holders {
@@ -48,9 +48,9 @@
 			r := post
 			r.flow = 5000 + flow
 			Expect(c.exchange(c.nodes[int(flow)%9], r)).To(HaveLen(1))
-			Expect(len(c.knowers(r))).To(BeNumerically(">=", 4))
+			Expect(len(c.nodesWithUpstream(r))).To(BeNumerically(">=", 4))
 		}
-		Expect(c.told).To(BeZero())
+		Expect(c.controlPackets).To(BeZero())
 	})
 
 	It("needs one hop more than its packets in the mean at most", func() {
@@ -59,7 +59,7 @@
 			r.flow = 5000 + flow
 			c.exchange(c.nodes[int(flow)%9], r)
 		}
-		c.passes = 0
+		c.hops = 0
 		const packets = 1800
 		for i := range packets {
 			r := post
@@ -67,7 +67,7 @@
 			u := c.call(c.nodes[i%9], r)
 			Expect(c.answer(c.nodes[(i+3)%9], u[0], r)).To(BeTrue())
 		}
-		Expect(float64(c.passes) / (2 * packets)).To(BeNumerically("<=", 1))
+		Expect(float64(c.hops) / (2 * packets)).To(BeNumerically("<=", 1))
 	})
 
 	// A secretary's session goes on after a balancer died without notice. The
@@ -77,9 +77,9 @@
 		for i := range 4 {
 			c = newCluster(9)
 			u := c.call(c.nodes[0], post)
-			dead := c.knowers(post)[i]
+			dead := c.nodesWithUpstream(post)[i]
 			c.kill(dead)
-			c.settle(true)
+			c.syncViews(true)
 			r := post
 			r.id, r.token = 2, 2
 			Expect(c.call(c.other(dead), r)).To(Equal(u))
@@ -93,10 +93,10 @@
 	It("survives the death of one holder after the other", func() {
 		u := c.exchange(c.nodes[0], post)
 		for i := range 6 {
-			c.kill(c.holders(post)[0])
-			c.settle(true)
+			c.kill(c.replicas(post)[0])
+			c.syncViews(true)
 			c.sweep()
-			Expect(c.holders(post)).NotTo(BeEmpty())
+			Expect(c.replicas(post)).NotTo(BeEmpty())
 			r := post
 			r.id, r.token = uint16(10+i), byte(10+i)
 			Expect(c.exchange(c.other(), r)).To(Equal(u))
@@ -109,17 +109,17 @@
 		u := c.exchange(c.nodes[0], post)
 		for i, n := range c.nodes {
 			n.member.State = peer.StateLeaving
-			c.settle(true)
+			c.syncViews(true)
 			c.sweep()
 			r := post
 			r.id, r.token = uint16(20+2*i), byte(20+2*i)
 			Expect(c.exchange(n, r)).To(Equal(u), "through the leaving host")
 			n.up = false
-			c.settle(true)
+			c.syncViews(true)
 			n.member.State = peer.StateAlive
 			n.member.Boot++
 			c.boot(n)
-			c.settle(true)
+			c.syncViews(true)
 			r.id, r.token = uint16(21+2*i), byte(21+2*i)
 			Expect(c.exchange(n, r)).To(Equal(u), "through the new host")
 		}
@@ -132,11 +132,11 @@
 		u := c.exchange(c.nodes[0], post)
 		r := post
 		c.idle(2 * time.Second)
-		for _, h := range c.holders(post) {
+		for _, h := range c.replicas(post) {
 			c.kill(h)
 			h.member.Boot++
 			c.boot(h)
-			c.settle(true)
+			c.syncViews(true)
 			r.id++
 			r.token++
 			Expect(c.exchange(c.nodes[0], r)).To(Equal(u))
@@ -150,10 +150,10 @@
 	It("answers that the outcome is unknown if all holders died", func() {
 		u := c.call(c.nodes[0], post)
 		Expect(u).To(HaveLen(1))
-		for _, h := range c.knowers(post) {
+		for _, h := range c.nodesWithUpstream(post) {
 			c.kill(h)
 		}
-		c.settle(true)
+		c.syncViews(true)
 		Expect(c.call(c.other(), post)).To(BeEmpty(), "the repeated POST must not run again")
 		Expect(c.callerGot).To(HaveLen(1))
 		Expect(c.callerGot[0].Code).To(Equal(codes.GatewayTimeout))
@@ -161,10 +161,10 @@
 
 	It("goes on with idempotent requests though all holders died", func() {
 		c.call(c.nodes[0], post)
-		for _, h := range c.knowers(post) {
+		for _, h := range c.nodesWithUpstream(post) {
 			c.kill(h)
 		}
-		c.settle(true)
+		c.syncViews(true)
 		get := request{vni: vniOrders, flow: post.flow, code: codes.GET, id: 2, token: 2}
 		Expect(c.call(c.other(), get)).To(HaveLen(1))
 	})
@@ -174,10 +174,10 @@
 	It("is found again from its upstream's answers if all holders died", func() {
 		get := request{vni: vniOrders, flow: 4002, code: codes.GET, id: 1, token: 1}
 		u := c.call(c.nodes[0], get)
-		for _, h := range c.knowers(get) {
+		for _, h := range c.nodesWithUpstream(get) {
 			c.kill(h)
 		}
-		c.settle(true)
+		c.syncViews(true)
 		Expect(c.answer(c.other(), u[0], get)).To(BeTrue())
 		get.id, get.token = 2, 2
 		Expect(c.call(c.other(), get)).To(Equal(u))
@@ -193,19 +193,19 @@
 			r := post
 			r.flow = 6000 + flow
 			u := c.call(c.nodes[0], r)
-			before := c.holders(r)
+			before := c.replicas(r)
 			for range 3 {
 				c.add()
 			}
-			c.settle(true)
+			c.syncViews(true)
 			c.sweep()
-			c.settle(false)
+			c.syncViews(false)
 			c.sweep()
-			if len(c.holders(r)) > 0 && c.holders(r)[0] != before[0] {
+			if len(c.replicas(r)) > 0 && c.replicas(r)[0] != before[0] {
 				displaced++
 			}
-			c.kill(c.homeOf(r))
-			c.settle(true)
+			c.kill(c.ownerOf(r))
+			c.syncViews(true)
 			r.code, r.id, r.token = codes.GET, 2, 2
 			Expect(c.call(c.other(), r)).To(Equal(u), "flow %d", flow)
 		}
@@ -217,22 +217,22 @@
 	It("has one upstream though two homes place it", func() {
 		for flow := range uint16(60) {
 			c = newCluster(9)
-			c.unlikeLoads()
+			c.skewLoads()
 			r := post
 			r.flow = 6000 + flow
-			home := c.homeOf(r)
+			owner := c.ownerOf(r)
 			var members []peer.Member
 			for _, n := range c.nodes {
-				if n != home {
+				if n != owner {
 					members = append(members, n.member)
 				}
 			}
-			late := c.other(home)
+			late := c.other(owner)
 			late.engine.SetView(peer.NewView(late.member.ID, members, peer.Changes{Recent: true}))
-			first := c.repeat(late, r)
+			first := c.callWithRetry(late, r)
 			Expect(first).To(HaveLen(1))
 			r.id, r.token = 2, 2
-			Expect(c.repeat(c.other(late), r)).To(Equal(first))
+			Expect(c.callWithRetry(c.other(late), r)).To(Equal(first))
 		}
 	})
 
@@ -244,12 +244,12 @@
 			r := post
 			r.flow = 6000 + flow
 			placer := c.nodeAt(c.nodes[0].engine.View().Placer(vniOrders).Data.Addr())
-			if placer == c.homeOf(r) {
+			if placer == c.ownerOf(r) {
 				continue
 			}
 			placer.up = false
-			first := c.repeat(c.other(placer), r)
-			if slices.Contains(c.routeOf(r), placer) {
+			first := c.callWithRetry(c.other(placer), r)
+			if slices.Contains(c.firstPacketPath(r), placer) {
 				continue // It is a holder too, and the packet is lost there.
 			}
 			Expect(first).To(HaveLen(1))
@@ -262,11 +262,11 @@
 	It("isn't sent by records from before a pause", func() {
 		get := request{vni: vniOrders, flow: 4003, code: codes.GET, id: 1, token: 1}
 		c.call(c.nodes[0], get)
-		holders := c.knowers(get)
+		holders := c.nodesWithUpstream(get)
 		holders[0].paused = true
 		c.lost = append(c.lost, holders[0].member)
 		c.kill(holders[1])
-		c.settle(true)
+		c.syncViews(true)
 		get.id, get.token = 2, 2
 		now := c.call(c.other(), get)
 		c.now = c.now.Add(4 * time.Second)
@@ -274,7 +274,7 @@
 		get.id, get.token = 3, 3
 		Expect(c.call(holders[0], get)).To(Or(BeEmpty(), Equal(now)), "its view is as old as its records")
 		c.lost = nil
-		c.settle(true)
+		c.syncViews(true)
 		get.id, get.token = 4, 4
 		Expect(c.call(holders[0], get)).To(Equal(now))
 		Expect(holders[0].engine.Counters.Pauses.Load()).To(BeEquivalentTo(1))
--- a/internal/connection/caller/bad_test.go
+++ b/internal/connection/caller/invalid_packet_test.go
@@ -28,7 +28,7 @@
 		send: func(c *cluster) caller.Cause {
 			return c.inject(c.nodes[0], netip.MustParseAddr("192.0.2.66"), vniOrders, inner(ordersAt, get.payload()))
 		},
-		want: caller.CauseStranger,
+		want: caller.CauseUnknownSender,
 	},
 	"unknown VNI": {
 		send: func(c *cluster) caller.Cause {
--- a/internal/connection/caller/home.go
+++ b/internal/connection/caller/owner.go
@@ -9,24 +9,24 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// home handles a packet at the daemon that decides for its flow.
-func (e *Engine) home(w *packetWork) Cause {
+// handleAsOwner handles a packet at the daemon that decides for its flow.
+func (e *Engine) handleAsOwner(w *packetWork) Cause {
 	if w.answer {
-		return e.homeAnswer(w)
+		return e.handleAnswer(w)
 	}
-	return e.homeCall(w)
+	return e.handleCall(w)
 }
 
-func (e *Engine) homeCall(w *packetWork) Cause {
+func (e *Engine) handleCall(w *packetWork) Cause {
 	var rec Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
-		if !found || r.State == StateHeld || r.State == StateEnded && w.opensTCP() {
+		if !found || r.State == StateDeferred || r.State == StateEnded && w.opensTCP() {
 			if !e.newRecord(w, r) {
 				return false
 			}
 		}
-		if r.State == StateTentative && r.Upstream == 0 && w.seconds > r.Told {
-			e.chooseAlone(w, r)
+		if r.State == StateTentative && r.Upstream == 0 && w.seconds > r.ConfirmedAt {
+			e.chooseLocally(w, r)
 		}
 		e.touch(w, r)
 		rec = *r
@@ -34,41 +34,41 @@
 	})
 	switch {
 	case rec.State == 0:
-		return e.noRecord(w)
-	case rec.State == StateHeld:
-		return e.ask(w, &Record{})
+		return e.handleNoRecord(w)
+	case rec.State == StateDeferred:
+		return e.query(w, &Record{})
 	case rec.State == StateTentative && rec.Upstream == 0:
-		return e.askPlacer(w, &rec)
+		return e.requestPlacement(w, &rec)
 	}
-	return e.decided(w, &rec)
+	return e.forwardCall(w, &rec)
 }
 
-// decided lets a call of a flow whose upstream is known or proposed through.
-func (e *Engine) decided(w *packetWork, rec *Record) Cause {
+// forwardCall lets a call of a flow whose upstream is known or proposed through.
+func (e *Engine) forwardCall(w *packetWork, rec *Record) Cause {
 	if cause := e.admit(w, rec); cause != CauseNone {
 		return cause
 	}
-	if rec.State == StateTentative || e.fenced(rec) {
-		return e.ask(w, rec)
+	if rec.State == StateTentative || e.predatesPause(rec) {
+		return e.query(w, rec)
 	}
-	return e.forth(w, rec)
+	return e.forwardCommitted(w, rec)
 }
 
-// forth sends a packet of a firm flow to its end, past those who keep the record
+// forwardCommitted sends a packet of a firm flow to its end, past those who keep the record
 // if it is time to renew that.
-func (e *Engine) forth(w *packetWork, rec *Record) Cause {
+func (e *Engine) forwardCommitted(w *packetWork, rec *Record) Cause {
 	if w.mustRenew(rec) {
 		return e.refresh(w, rec)
 	}
-	e.refill(w, rec)
+	e.replicateToBackup(w, rec)
 	return e.deliver(w, rec.Upstream)
 }
 
-// noRecord handles a call for which no record could be made: either no upstream
+// handleNoRecord handles a call for which no record could be made: either no upstream
 // may take a flow, or it is the middle of a TCP flow that others may know.
-func (e *Engine) noRecord(w *packetWork) Cause {
+func (e *Engine) handleNoRecord(w *packetWork) Cause {
 	if w.p.IP.Protocol == ip.ProtocolTCP && !w.opensTCP() {
-		return e.ask(w, &Record{})
+		return e.query(w, &Record{})
 	}
 	return e.refuse(w, refusalNoUpstream)
 }
@@ -80,64 +80,64 @@
 		return false
 	}
 	beyond := w.view.BeyondCut(w.hash)
-	if beyond && hold(w, r) {
+	if beyond && deferPlacement(w, r) {
 		return true
 	}
 	var id bundle.UpstreamID
 	if p := w.view.Placer(w.service.VNI); p == nil || p.ID == e.self {
-		u := e.choose(w, 0)
+		u := e.chooseUpstream(w, 0)
 		if u == nil {
 			return false
 		}
 		id = u.ID
-		e.Loads.Placed(id, w.now.Add(recentFlows))
+		e.Loads.Placed(id, w.now.Add(recentPlacementPeriod))
 	}
 	e.uncount(r)
-	*r = Record{Upstream: id, State: StateTentative, Placed: unixSeconds(w.now), Told: w.seconds, Flags: RecordLocal}
-	e.holds(r)
+	*r = Record{Upstream: id, State: StateTentative, PlacedAt: unixSeconds(w.now), ConfirmedAt: w.seconds, Flags: RecordLocal}
+	e.markValid(r)
 	if beyond || w.view.MayBeLost(w.hash) {
-		r.Flags = RecordUnsure
+		r.Flags = RecordUncertain
 	}
 	e.Counters.Placed.Add(1)
 	return true
 }
 
-// chooseAlone chooses at the home itself for a flow whose placer gave no answer
+// chooseLocally chooses at the home itself for a flow whose placer gave no answer
 // to an earlier copy of its packet: the placer may be dead, or take this daemon
 // for dead.
-func (e *Engine) chooseAlone(w *packetWork, r *Record) {
-	if u := e.choose(w, 0); u != nil {
+func (e *Engine) chooseLocally(w *packetWork, r *Record) {
+	if u := e.chooseUpstream(w, 0); u != nil {
 		r.Upstream = u.ID
-		e.Loads.Placed(u.ID, w.now.Add(recentFlows))
+		e.Loads.Placed(u.ID, w.now.Add(recentPlacementPeriod))
 	}
 }
 
-// recentFlows is how long a new flow counts at its placer by itself; after that
+// recentPlacementPeriod is how long a new flow counts at its placer by itself; after that
 // its home has told of it.
-const recentFlows = 8 * time.Second
+const recentPlacementPeriod = 8 * time.Second
 
-// heldSightings is how often the same message of a flow must come before a side
+// copiesBeforePlacement is how often the same message of a flow must come before a side
 // of a cut places it whose home is on the other side. A caller that reaches both
 // sides gets its answer from there before, most likely; one that reaches only
 // this side is served after two retransmissions.
-const heldSightings = 3
+const copiesBeforePlacement = 3
 
-// hold counts the copies of a message. It returns false when there were enough.
-func hold(w *packetWork, r *Record) bool {
+// deferPlacement counts the copies of a message. It returns false when there were enough.
+func deferPlacement(w *packetWork, r *Record) bool {
 	id := w.p.IP.Seq
 	if w.p.IP.Protocol == ip.ProtocolUDP {
 		id = uint32(w.p.CoAP.MessageID)
 	}
-	if r.State != StateHeld || r.Other != id {
-		*r = Record{State: StateHeld, Other: id}
+	if r.State != StateDeferred || r.ReplicaTag != id {
+		*r = Record{State: StateDeferred, ReplicaTag: id}
 	}
-	r.Told++
-	return r.Told < heldSightings
+	r.ConfirmedAt++
+	return r.ConfirmedAt < copiesBeforePlacement
 }
 
-// choose returns an upstream for the flow other than not, or nil. Zones in which
+// chooseUpstream returns an upstream for the flow other than not, or nil. Zones in which
 // no member is reachable are left out: their upstreams can't be reached either.
-func (e *Engine) choose(w *packetWork, not bundle.UpstreamID) *bundle.UpstreamRoute {
+func (e *Engine) chooseUpstream(w *packetWork, not bundle.UpstreamID) *bundle.UpstreamRoute {
 	candidates := make([]upstream.Candidate, 0, len(w.service.Upstreams))
 	for _, u := range w.service.Upstreams {
 		if u.ID == not || !w.view.Reaches(u.Zone) {
@@ -148,42 +148,42 @@
 	return e.policy.Choose(candidates, uint64(w.hash))
 }
 
-// ask sends a packet through the members that may hold its flow's record. The
+// query sends a packet through the members that may hold its flow's record. The
 // last of them is the backup of the proposed upstream, which records it if
 // nobody had one.
-func (e *Engine) ask(w *packetWork, r *Record) Cause {
+func (e *Engine) query(w *packetWork, r *Record) Cause {
 	h := w.p.Header
-	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Upstream: r.Upstream, Placed: r.Placed, Owner: uint64(e.self)}
+	h.Hop = geneve.Hop{Kind: geneve.KindQuery, Upstream: r.Upstream, PlacedAt: r.PlacedAt, Owner: uint64(e.self)}
 	if w.answer {
 		h.Hop.Flags |= geneve.FlagAnswer
 	}
 	if r.Upstream != 0 {
 		h.Hop.Flags |= geneve.FlagPlace
 	}
-	if r.Flags&RecordUnsure != 0 || w.view.MayBeLost(w.hash) || w.view.BeyondCut(w.hash) {
-		h.Hop.Flags |= geneve.FlagUnsure
+	if r.Flags&RecordUncertain != 0 || w.view.MayBeLost(w.hash) || w.view.BeyondCut(w.hash) {
+		h.Hop.Flags |= geneve.FlagUncertain
 	}
-	if e.fenced(r) && r.State == StateFirm {
+	if e.predatesPause(r) && r.State == StateCommitted {
 		h.Hop.Found = r.Upstream
 	}
-	if w.view.Recent || !h.Hop.Has(geneve.FlagPlace) || e.fenced(r) {
+	if w.view.Recent || !h.Hop.Has(geneve.FlagPlace) || e.predatesPause(r) {
 		w.view.AddHolders(w.hash, &h.Hop)
 	} else {
 		w.view.AddReplicas(w.hash, &h.Hop)
 	}
-	if h.Hop.Has(geneve.FlagUnsure) {
+	if h.Hop.Has(geneve.FlagUncertain) {
 		w.view.AddAll(w.hash, &h.Hop)
 	}
 	w.p.Header.Hop = h.Hop
 	e.Counters.Queried.Add(1)
-	e.backupLast(w, r)
-	return e.passToHolder(w)
+	e.queryBackupLast(w, r)
+	return e.queryNext(w)
 }
 
-// backupLast puts the backup of the proposed upstream at the end of those who
+// queryBackupLast puts the backup of the proposed upstream at the end of those who
 // are asked: it records the flow if nobody had it. The record here notes whom
 // the packet passes; the flow's first answer proves that it did.
-func (e *Engine) backupLast(w *packetWork, rec *Record) {
+func (e *Engine) queryBackupLast(w *packetWork, rec *Record) {
 	hop := &w.p.Header.Hop
 	u := w.routing.Upstream(hop.Upstream)
 	if u == nil {
@@ -199,15 +199,15 @@
 	}
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		if found && r.State == StateTentative {
-			r.Other, r.Told, r.Replicated = b.Tag(), w.seconds, w.view.number
+			r.ReplicaTag, r.ConfirmedAt, r.ReplicatedView = b.Tag(), w.seconds, w.view.number
 		}
 		return found
 	})
 }
 
-// homeAnswer lets an answer through to the caller only from the upstream that
+// handleAnswer lets an answer through to the caller only from the upstream that
 // holds the flow.
-func (e *Engine) homeAnswer(w *packetWork) Cause {
+func (e *Engine) handleAnswer(w *packetWork) Cause {
 	from := w.p.Header.Hop.Upstream
 	var rec Record
 	var retried bool
@@ -215,12 +215,12 @@
 		if !found {
 			return false
 		}
-		if r.State == StateHeld {
+		if r.State == StateDeferred {
 			return true
 		}
-		if r.Upstream == from && r.State == StateTentative && r.Flags&(RecordUnsure|RecordBackup) == 0 && !e.fenced(r) {
+		if r.Upstream == from && r.State == StateTentative && r.Flags&(RecordUncertain|RecordBackup) == 0 && !e.predatesPause(r) {
 			// The upstream has seen the call, so that had passed the backup.
-			r.State = StateFirm
+			r.State = StateCommitted
 		}
 		if r.Upstream == from && r.State != StateTentative {
 			if retried = e.retryTCP(w, r); retried {
@@ -236,24 +236,24 @@
 	switch {
 	case retried:
 		return CauseSuperseded
-	case rec.State == 0 || rec.State == StateTentative || e.fenced(&rec):
+	case rec.State == 0 || rec.State == StateTentative || e.predatesPause(&rec):
 		// A lost record may be made again from the answer itself.
 		rec.Upstream = from
-		return e.ask(w, &rec)
+		return e.query(w, &rec)
 	case rec.Upstream != from:
 		return CauseWrongUpstream
 	}
-	if cause := e.answered(w, &rec); cause != CauseNone {
+	if cause := e.admitAnswer(w, &rec); cause != CauseNone {
 		return cause
 	}
-	return e.forth(w, &rec)
+	return e.forwardCommitted(w, &rec)
 }
 
-// refill tells the flow's present backup its record if that was told to another
+// replicateToBackup tells the flow's present backup its record if that was told to another
 // member, or to an earlier run of this one. Without it, a second death would
 // lose the flow though it came long after the first.
-func (e *Engine) refill(w *packetWork, r *Record) {
-	if r.Checked == w.view.number {
+func (e *Engine) replicateToBackup(w *packetWork, r *Record) {
+	if r.CheckedView == w.view.number {
 		return
 	}
 	u := w.routing.Upstream(r.Upstream)
@@ -261,14 +261,14 @@
 		return
 	}
 	b := w.view.Backup(w.hash, u.Zone, e.self)
-	if b == nil || b.Tag() == r.Other {
+	if b == nil || b.Tag() == r.ReplicaTag {
 		e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
-			r.Checked = w.view.number
+			r.CheckedView = w.view.number
 			return found
 		})
 		return
 	}
-	e.tell(w, b.Data, r, geneve.FlagBackup|geneve.FlagConfirm)
+	e.sendRecord(w, b.Data, r, geneve.FlagBackup|geneve.FlagConfirm)
 }
 
 func unixSeconds(t time.Time) uint32 {
@@ -277,13 +277,13 @@
 
 // touch notes at the home that a packet passed.
 func (e *Engine) touch(w *packetWork, r *Record) {
-	r.Seen = w.seconds
-	if r.State == StateHeld {
+	r.LastSeen = w.seconds
+	if r.State == StateDeferred {
 		return
 	}
 	r.Flags &^= RecordBackup
 	e.count(r)
-	if e.followTCP(w, r) {
+	if e.trackTCP(w, r) {
 		e.uncount(r)
 		e.Counters.Ended.Add(1)
 	}
--- a/internal/connection/caller/guard_test.go
+++ b/internal/connection/caller/owner_test.go
@@ -24,24 +24,24 @@
 	// for dead and may have placed the flow again; it goes on by its old record.
 	It("asks others for a record from before a pause", func() {
 		u := c.exchange(c.nodes[0], post)
-		home := c.homeOf(post)
+		owner := c.ownerOf(post)
 		c.now = c.now.Add(4 * time.Second)
-		asked := home.engine.Counters.Queried.Load()
-		Expect(c.exchange(home, next(2))).To(Equal(u))
-		Expect(home.engine.Counters.Queried.Load()).To(Equal(asked + 1))
-		Expect(c.exchange(home, next(3))).To(Equal(u))
-		Expect(home.engine.Counters.Queried.Load()).To(Equal(asked+1), "once is enough")
+		asked := owner.engine.Counters.Queried.Load()
+		Expect(c.exchange(owner, next(2))).To(Equal(u))
+		Expect(owner.engine.Counters.Queried.Load()).To(Equal(asked + 1))
+		Expect(c.exchange(owner, next(3))).To(Equal(u))
+		Expect(owner.engine.Counters.Queried.Load()).To(Equal(asked+1), "once is enough")
 	})
 
 	// A caller is told that its booking didn't run, and it ran. Its first copy went
 	// through another home; the new one has no slot left and refuses the second.
 	It("doesn't call a request not run while another home may have let it through", func() {
 		c.exchange(c.nodes[0], post)
-		c.settle(true)
+		c.syncViews(true)
 		for i := range 8 {
 			Expect(c.call(c.nodes[0], next(i+10))).To(HaveLen(1))
 		}
-		c.settle(false)
+		c.syncViews(false)
 		Expect(c.call(c.nodes[0], next(50))).To(BeEmpty())
 		Expect(c.callerGot[len(c.callerGot)-1].Code).To(Equal(codes.ServiceUnavailable))
 	})
@@ -50,23 +50,23 @@
 	// that told the new backup was lost, and the home believed it told.
 	It("tells a new backup until it has confirmed, and then no more", func() {
 		c.exchange(c.nodes[0], post)
-		home := c.homeOf(post)
-		for _, h := range c.holders(post) {
-			if h != home {
+		owner := c.ownerOf(post)
+		for _, h := range c.replicas(post) {
+			if h != owner {
 				c.kill(h)
 			}
 		}
-		c.settle(true)
+		c.syncViews(true)
 		c.drop = func(_, _ *node) bool { return true }
 		c.sweep()
-		Expect(c.holders(post)).To(HaveLen(1))
+		Expect(c.replicas(post)).To(HaveLen(1))
 		c.drop = nil
 		c.sweep()
-		Expect(c.holders(post)).NotTo(HaveLen(1))
+		Expect(c.replicas(post)).NotTo(HaveLen(1))
 		c.sweep()
-		told := c.told
+		told := c.controlPackets
 		c.sweep()
-		Expect(c.told).To(Equal(told))
+		Expect(c.controlPackets).To(Equal(told))
 	})
 
 	// An upstream that leaves gets new flows for minutes, and its open ones are cut
@@ -95,29 +95,29 @@
 	It("learns of an earlier proposal that overruled its own, though the first word of it is lost", func() {
 		for flow := range uint16(30) {
 			c = newCluster(9)
-			c.unlikeLoads()
+			c.skewLoads()
 			r := request{vni: vniOrders, flow: 8000 + flow, code: codes.GET, id: 1, token: 1}
-			home := c.homeOf(r)
-			for _, n := range c.routeOf(r) {
-				if n != home {
-					c.leaveCopy(n, r, "orders-4")
+			owner := c.ownerOf(r)
+			for _, n := range c.firstPacketPath(r) {
+				if n != owner {
+					c.storeProposalCopy(n, r, "orders-4")
 					break
 				}
 			}
 			c.now = c.now.Add(time.Second)
-			c.passes = 0
-			c.drop = func(_, to *node) bool { return to == home && c.passes > 2 }
-			Expect(c.call(home, r)).To(Equal([]string{"orders-4"}))
+			c.hops = 0
+			c.drop = func(_, to *node) bool { return to == owner && c.hops > 2 }
+			Expect(c.call(owner, r)).To(Equal([]string{"orders-4"}))
 			c.drop = nil
 			c.sweep()
-			for _, n := range c.knowers(r) {
-				if n != home {
+			for _, n := range c.nodesWithUpstream(r) {
+				if n != owner {
 					c.kill(n)
 				}
 			}
-			c.settle(true)
+			c.syncViews(true)
 			r.id, r.token = 2, 2
-			Expect(c.call(home, r)).To(Equal([]string{"orders-4"}), "flow %d", flow)
+			Expect(c.call(owner, r)).To(Equal([]string{"orders-4"}), "flow %d", flow)
 		}
 	})
 
@@ -125,10 +125,10 @@
 	// an upstream of another service sends under this service's VNI.
 	It("doesn't adopt a flow for an upstream of another service", func() {
 		c.call(c.nodes[0], post)
-		for _, n := range c.knowers(post) {
+		for _, n := range c.nodesWithUpstream(post) {
 			c.kill(n)
 		}
-		c.settle(true)
+		c.syncViews(true)
 		Expect(c.answer(c.other(), "archive-0", post)).To(BeFalse())
 		Expect(c.answer(c.other(), "orders-0", post)).To(BeTrue())
 	})
--- a/internal/connection/caller/cut_test.go
+++ b/internal/connection/caller/partition_test.go
@@ -13,10 +13,10 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// cut separates zone a from the others: what is sent between them is lost, and
+// partition separates zone a from the others: what is sent between them is lost, and
 // each side takes the other for dead.
-func (c *cluster) cut() {
-	c.apart = func(a, b bundle.Zone) bool { return (a == "a") != (b == "a") }
+func (c *cluster) partition() {
+	c.partitioned = func(a, b bundle.Zone) bool { return (a == "a") != (b == "a") }
 	for _, n := range c.nodes {
 		var members, away []peer.Member
 		for _, o := range c.nodes {
@@ -37,8 +37,8 @@
 }
 
 func (c *cluster) heal() {
-	c.apart = nil
-	c.settle(true)
+	c.partitioned = nil
+	c.syncViews(true)
 }
 
 // side returns the nodes that reach a zone while the network is cut.
@@ -68,7 +68,7 @@
 	}
 	BeforeEach(func() {
 		c = newCluster(9)
-		c.unlikeLoads()
+		c.skewLoads()
 	})
 
 	// Feeds break and bookings run twice while a zone is cut off. A side that gets
@@ -79,7 +79,7 @@
 		for flow := uint16(4000); flow < 4000+flows; flow++ {
 			held[flow] = c.exchange(c.nodes[int(flow)%9], request1(flow, codes.GET))[0]
 		}
-		c.cut()
+		c.partition()
 		for flow, u := range held {
 			r := request1(flow, codes.POST)
 			for i, n := range c.nodes {
@@ -104,9 +104,9 @@
 		placed := 0
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.POST)
-			home := c.homeOf(r)
-			c.cut()
-			if home.member.Zone == "a" {
+			owner := c.ownerOf(r)
+			c.partition()
+			if owner.member.Zone == "a" {
 				placed++
 				u := c.exchange(c.side("a")[0], r)
 				Expect(u).To(HaveLen(1))
@@ -122,10 +122,10 @@
 	It("doesn't run a new flow's POST whose home is beyond the cut, however often it comes", func() {
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.POST)
-			if c.homeOf(r).member.Zone == "a" {
+			if c.ownerOf(r).member.Zone == "a" {
 				continue
 			}
-			c.cut()
+			c.partition()
 			for range 5 {
 				Expect(c.call(c.side("a")[1], r)).To(BeEmpty())
 			}
@@ -142,10 +142,10 @@
 		served := 0
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.GET)
-			if c.homeOf(r).member.Zone == "a" {
+			if c.ownerOf(r).member.Zone == "a" {
 				continue
 			}
-			c.cut()
+			c.partition()
 			Expect(c.call(c.side("a")[0], r)).To(BeEmpty())
 			c.now = c.now.Add(500 * time.Millisecond)
 			Expect(c.call(c.side("a")[1], r)).To(BeEmpty())
@@ -167,19 +167,19 @@
 		found := 0
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.POST)
-			if c.homeOf(r).member.Zone != "a" {
+			if c.ownerOf(r).member.Zone != "a" {
 				continue
 			}
-			c.cut()
-			home := c.sideHome(r)
+			c.partition()
+			owner := c.sideOwner(r)
 			for _, n := range c.side("b") {
-				if n != home {
-					c.leaveCopy(n, r, "orders-1")
+				if n != owner {
+					c.storeProposalCopy(n, r, "orders-1")
 				}
 			}
-			c.answer(home, "orders-1", r)
-			Expect(c.holders(r)).NotTo(BeEmpty(), "the answer brings the copy back")
-			Expect(c.call(home, r)).To(BeEmpty(), "flow %d", flow)
+			c.answer(owner, "orders-1", r)
+			Expect(c.replicas(r)).NotTo(BeEmpty(), "the answer brings the copy back")
+			Expect(c.call(owner, r)).To(BeEmpty(), "flow %d", flow)
 			found++
 			c.heal()
 		}
@@ -187,19 +187,19 @@
 	})
 })
 
-// sideHome returns the node that decides for a flow on the side without zone a.
-func (c *cluster) sideHome(r request) *node {
+// sideOwner returns the node that decides for a flow on the side without zone a.
+func (c *cluster) sideOwner(r request) *node {
 	k := keyOf(r.flow)
 	return c.nodeAt(c.side("b")[0].engine.View().Home(k.Hash()).Data.Addr())
 }
 
-// leaveCopy gives a node the copy of a proposal that was made in doubt.
-func (c *cluster) leaveCopy(n *node, r request, upstream string) {
+// storeProposalCopy gives a node the copy of a proposal that was made in doubt.
+func (c *cluster) storeProposalCopy(n *node, r request, upstream string) {
 	k := keyOf(r.flow)
 	n.engine.Flows.Update(&k, k.Hash(), func(rec *caller.Record, _ bool) bool {
 		*rec = caller.Record{
 			Upstream: bundle.UpstreamIDOf("orders", upstream), State: caller.StateTentative,
-			Flags: caller.RecordBackup | caller.RecordUnsure, Other: 1, Placed: uint32(c.now.Unix()),
+			Flags: caller.RecordBackup | caller.RecordUncertain, ReplicaTag: 1, PlacedAt: uint32(c.now.Unix()),
 		}
 		return true
 	})
--- a/internal/connection/caller/placer.go
+++ b/internal/connection/caller/placer.go
@@ -9,26 +9,26 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// askPlacer sends a call of a new flow to the member that chooses for its
+// requestPlacement sends a call of a new flow to the member that chooses for its
 // service. One place that knows of all new flows spreads them best.
-func (e *Engine) askPlacer(w *packetWork, r *Record) Cause {
+func (e *Engine) requestPlacement(w *packetWork, r *Record) Cause {
 	hop := &w.p.Header.Hop
-	*hop = geneve.Hop{Kind: geneve.KindChoose, Placed: r.Placed, Owner: uint64(e.self), Count: hop.Count + 1}
+	*hop = geneve.Hop{Kind: geneve.KindPlacementRequest, PlacedAt: r.PlacedAt, Owner: uint64(e.self), Count: hop.Count + 1}
 	p := w.view.Placer(w.service.VNI)
 	if p == nil || p.ID == e.self {
-		return e.placer(w)
+		return e.handlePlacementRequest(w)
 	}
 	w.send(p.Data, w.p.Header, w.p.Inner)
 	return CauseNone
 }
 
-// placer chooses the upstream of a new flow and sends the packet back to its
+// handlePlacementRequest chooses the upstream of a new flow and sends the packet back to its
 // home. It remembers the choice for some time: a caller's repetition must not be
 // placed elsewhere while the first copy is under way.
-func (e *Engine) placer(w *packetWork) Cause {
+func (e *Engine) handlePlacementRequest(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
-	home := w.view.Member(peer.ID(hop.Owner))
-	if home == nil {
+	owner := w.view.Member(peer.ID(hop.Owner))
+	if owner == nil {
 		return CauseNoFlow
 	}
 	var rec Record
@@ -37,51 +37,51 @@
 			rec = *r
 			return true
 		}
-		u := e.choose(w, 0)
+		u := e.chooseUpstream(w, 0)
 		if u == nil {
 			return found
 		}
-		*r = Record{Upstream: u.ID, State: StateTentative, Placed: hop.Placed, Seen: w.seconds}
-		if home.ID != e.self {
+		*r = Record{Upstream: u.ID, State: StateTentative, PlacedAt: hop.PlacedAt, LastSeen: w.seconds}
+		if owner.ID != e.self {
 			r.Flags = RecordBackup
 		}
-		e.holds(r)
+		e.markValid(r)
 		rec = *r
-		e.Loads.Placed(u.ID, w.now.Add(recentFlows))
+		e.Loads.Placed(u.ID, w.now.Add(recentPlacementPeriod))
 		return true
 	})
 	if rec.Upstream == 0 {
 		return e.refuse(w, refusalNoUpstream)
 	}
-	hop.Kind = geneve.KindChosen
-	hop.Upstream, hop.Placed = rec.Upstream, rec.Placed
-	if home.ID == e.self {
-		return e.chosen(w)
+	hop.Kind = geneve.KindPlacementReply
+	hop.Upstream, hop.PlacedAt = rec.Upstream, rec.PlacedAt
+	if owner.ID == e.self {
+		return e.handlePlacementReply(w)
 	}
-	w.send(home.Data, w.p.Header, w.p.Inner)
+	w.send(owner.Data, w.p.Header, w.p.Inner)
 	return CauseNone
 }
 
-// chosen goes on with a call at its home once the placer has chosen.
-func (e *Engine) chosen(w *packetWork) Cause {
+// handlePlacementReply goes on with a call at its home once the placer has handlePlacementReply.
+func (e *Engine) handlePlacementReply(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	var rec Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		switch {
 		case !found || r.State == StateEnded:
-			*r = Record{Upstream: hop.Upstream, State: StateTentative, Placed: hop.Placed, Flags: RecordLocal}
-			e.holds(r)
+			*r = Record{Upstream: hop.Upstream, State: StateTentative, PlacedAt: hop.PlacedAt, Flags: RecordLocal}
+			e.markValid(r)
 		case r.State == StateTentative && r.Upstream == 0:
-			r.Upstream, r.Placed = hop.Upstream, hop.Placed
+			r.Upstream, r.PlacedAt = hop.Upstream, hop.PlacedAt
 		}
 		e.touch(w, r)
 		rec = *r
 		return true
 	})
-	if rec.State == StateHeld {
+	if rec.State == StateDeferred {
 		return CauseNoFlow
 	}
-	return e.decided(w, &rec)
+	return e.forwardCall(w, &rec)
 }
 
 // FlowCounts returns how many flows this daemon is home of at each upstream of
--- a/internal/connection/caller/refresh.go
+++ b/internal/connection/caller/refresh.go
@@ -19,43 +19,43 @@
 // those who keep copies last heard of it.
 func (w *packetWork) mustRenew(r *Record) bool {
 	limit := Seconds(w.service.IdleTimeout / time.Second)
-	return w.seconds > r.Told+limit/renewDivisor
+	return w.seconds > r.ConfirmedAt+limit/renewDivisor
 }
 
 // refresh sends a packet past all who keep the flow's record. It costs this one
 // packet a few hops and the control traffic nothing.
 func (e *Engine) refresh(w *packetWork, r *Record) Cause {
 	h := w.p.Header
-	h.Hop = learnHop(e.self, r, 0)
+	h.Hop = replicateHop(e.self, r, 0)
 	h.Hop.Kind = geneve.KindRefresh
 	if w.answer {
 		h.Hop.Flags |= geneve.FlagAnswer
 	}
 	w.view.AddReplicas(w.hash, &h.Hop)
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
-		r.Told = w.seconds
+		r.ConfirmedAt = w.seconds
 		return found
 	})
 	w.p.Header.Hop = h.Hop
-	return e.passRefresh(w)
+	return e.forwardRefresh(w)
 }
 
-// refreshed takes in the home's record from a packet on its way and passes it on.
-func (e *Engine) refreshed(w *packetWork) Cause {
+// handleRefresh takes in the home's record from a packet on its way and passes it on.
+func (e *Engine) handleRefresh(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
-	home := w.view.Member(peer.ID(hop.Owner))
+	owner := w.view.Member(peer.ID(hop.Owner))
 	var mine Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
-		if !found || r.State != StateFirm || supersedes(hop, r) {
-			e.replace(r, toldBy(hop), w.seconds)
+		if !found || r.State != StateCommitted || supersedes(hop, r) {
+			e.replace(r, remoteRecordOf(hop), w.seconds)
 		}
 		if r.Upstream == hop.Upstream {
 			r.Flags |= RecordBackup
 			r.Flags &^= RecordUnconfirmed
-			r.Seen = w.seconds
-			e.holds(r)
-			if home != nil {
-				r.Other = home.Tag()
+			r.LastSeen = w.seconds
+			e.markValid(r)
+			if owner != nil {
+				r.ReplicaTag = owner.Tag()
 			}
 		}
 		mine = *r
@@ -63,13 +63,13 @@
 	})
 	if mine.Upstream != hop.Upstream {
 		e.Counters.Conflicts.Add(1)
-		e.tellHome(w, &mine)
+		e.sendToOwner(w, &mine)
 	}
-	return e.passRefresh(w)
+	return e.forwardRefresh(w)
 }
 
-func (e *Engine) passRefresh(w *packetWork) Cause {
-	if e.passOn(w) {
+func (e *Engine) forwardRefresh(w *packetWork) Cause {
+	if e.sendToNextReplica(w) {
 		return CauseNone
 	}
 	return e.deliver(w, w.p.Header.Hop.Upstream)
--- a/internal/connection/caller/reply.go
+++ b/internal/connection/caller/reply.go
@@ -39,21 +39,21 @@
 	return CauseRefused
 }
 
-// unknown answers a call that may have run with an unknown outcome.
-func (e *Engine) unknown(w *packetWork) Cause {
+// replyUnknown answers a call that may have run with an replyUnknown outcome.
+func (e *Engine) replyUnknown(w *packetWork) Cause {
 	b, err := coap.Unknown(&w.p.CoAP, messageID())
 	if err != nil {
 		return CauseMalformedCoAP
 	}
 	e.reply(w, b)
-	return CauseUnknown
+	return CauseOutcomeUnknown
 }
 
 // reply sends a CoAP answer from the service to the caller of w's packet.
 func (e *Engine) reply(w *packetWork, payload []byte) {
 	inner, err := ip.BuildUDP(w.p.IP.Dst, w.p.IP.Src, payload)
 	if err == nil {
-		e.toCaller(w, inner)
+		e.sendToCaller(w, inner)
 	}
 }
 
--- a/internal/connection/caller/request_test.go
+++ b/internal/connection/caller/request_test.go
@@ -87,11 +87,11 @@
 	It("doesn't keep a slot over a pause", func() {
 		r := request{vni: vniOrders, flow: 4001, code: codes.GET, id: 1, token: 1}
 		u := c.call(c.nodes[0], r)
-		home := c.homeOf(r)
+		owner := c.ownerOf(r)
 		c.now = c.now.Add(4 * time.Second)
-		home.engine.DetectPause(c.now)
+		owner.engine.DetectPause(c.now)
 		c.sweep()
 		Expect(u).To(HaveLen(1))
-		Expect(home.engine.Requests.Open()).To(BeZero())
+		Expect(owner.engine.Requests.Open()).To(BeZero())
 	})
 })
--- a/internal/connection/caller/requests.go
+++ b/internal/connection/caller/requests.go
@@ -23,8 +23,8 @@
 const (
 	// RequestOpen waits for its answer.
 	RequestOpen RequestState = iota + 1
-	// RequestFeed is an observation that was answered and goes on.
-	RequestFeed
+	// RequestObserving is an observation that was answered and goes on.
+	RequestObserving
 	// RequestAnswered has its answer; repeated copies of it still pass.
 	RequestAnswered
 	// RequestExpired was answered by the daemon; its upstream may still work on it.
@@ -36,7 +36,7 @@
 	Upstream  bundle.UpstreamID
 	Opened    time.Time
 	Deadline  time.Time
-	Seen      time.Time
+	LastSeen  time.Time
 	Message   coap.Message
 	AnswerID  uint16
 	State     RequestState
@@ -94,12 +94,12 @@
 	if w.service.Protocol != bundle.ProtocolCoAP || !m.IsRequest() {
 		return CauseNone
 	}
-	if rec.State == StateFirm && !m.IsIdempotent() && w.mayRunElsewhere(rec) {
+	if rec.State == StateCommitted && !m.IsIdempotent() && w.mayHaveRunElsewhere(rec) {
 		// An earlier record of the flow may be lost, and with it the upstream to
 		// which this request went before: running it here could be the second run.
-		return e.unknown(w)
+		return e.replyUnknown(w)
 	}
-	if rec.State == StateTentative && rec.Flags&RecordUnsure != 0 && !m.IsIdempotent() {
+	if rec.State == StateTentative && rec.Flags&RecordUncertain != 0 && !m.IsIdempotent() {
 		// Those who are asked next decide: it goes on only to an upstream that had
 		// the flow before.
 		return CauseNone
@@ -114,12 +114,12 @@
 	cause := CauseNone
 	k := requestKey{flow: w.key, token: m.Token}
 	e.Requests.update(&k, w.hash, func(r *Request, found bool) bool {
-		if found && (r.State == RequestFeed || r.Message.MessageID == m.MessageID) {
-			r.Seen = w.now
+		if found && (r.State == RequestObserving || r.Message.MessageID == m.MessageID) {
+			r.LastSeen = w.now
 			return true
 		}
 		if found {
-			e.leave(r)
+			e.closeRequest(r)
 		}
 		if placed && reachable && load.Requests.Load() >= limit && e.isFirstCopy(w) {
 			cause = CauseRefused
@@ -129,7 +129,7 @@
 			Upstream: rec.Upstream,
 			Deadline: w.now.Add(w.service.Deadline),
 			Opened:   w.now,
-			Seen:     w.now,
+			LastSeen: w.now,
 			Message:  *m,
 			State:    RequestOpen,
 		}
@@ -155,40 +155,40 @@
 // through before. While members change, a caller's first copy may have gone
 // through another home, and "not run" would not be true of the next one.
 func (e *Engine) isFirstCopy(w *packetWork) bool {
-	pausedUntil := Seconds(e.fence.Load()) + Seconds(MaxTransmitSpan/time.Second)
-	return !w.view.Unsettled && (e.fence.Load() == 0 || w.seconds > pausedUntil)
+	pausedUntil := Seconds(e.resumedAt.Load()) + Seconds(MaxTransmitSpan/time.Second)
+	return !w.view.Unsettled && (e.resumedAt.Load() == 0 || w.seconds > pausedUntil)
 }
 
-// mayRunElsewhere reports whether the caller may have sent this request before,
+// mayHaveRunElsewhere reports whether the caller may have sent this request before,
 // to the upstream of a lost record or to the other side of a cut.
-func (w *packetWork) mayRunElsewhere(rec *Record) bool {
-	if rec.Flags&RecordUnsure == 0 {
+func (w *packetWork) mayHaveRunElsewhere(rec *Record) bool {
+	if rec.Flags&RecordUncertain == 0 {
 		return false
 	}
 	if w.view.BeyondCut(w.hash) {
 		return true
 	}
-	return time.Duration(unixSeconds(w.now)-rec.Placed)*time.Second < MaxTransmitSpan
+	return time.Duration(unixSeconds(w.now)-rec.PlacedAt)*time.Second < MaxTransmitSpan
 }
 
-// letGo frees what a request holds at its upstream.
-func (e *Engine) letGo(r *Request) {
+// releaseSlot frees what a request holds at its upstream.
+func (e *Engine) releaseSlot(r *Request) {
 	if r.holdsSlot {
 		r.holdsSlot = false
 		e.Loads.Load(r.Upstream).Requests.Add(-1)
 	}
 }
 
-// leave notes that a request isn't open any more.
-func (e *Engine) leave(r *Request) {
-	e.letGo(r)
+// closeRequest notes that a request isn't open any more.
+func (e *Engine) closeRequest(r *Request) {
+	e.releaseSlot(r)
 	if r.State == RequestOpen {
 		e.Requests.open.Add(-1)
 	}
 }
 
-// answered decides whether an answer of the flow's upstream may go to the caller.
-func (e *Engine) answered(w *packetWork, rec *Record) Cause {
+// admitAnswer decides whether an answer of the flow's upstream may go to the caller.
+func (e *Engine) admitAnswer(w *packetWork, rec *Record) Cause {
 	m := &w.p.CoAP
 	if w.service.Protocol != bundle.ProtocolCoAP || !m.IsResponse() {
 		return CauseNone
@@ -204,16 +204,16 @@
 			}
 			return false
 		}
-		cause = e.settle(w, r)
+		cause = e.recordAnswer(w, r)
 		return true
 	})
 	return cause
 }
 
-func (e *Engine) settle(w *packetWork, r *Request) Cause {
+func (e *Engine) recordAnswer(w *packetWork, r *Request) Cause {
 	m := &w.p.CoAP
-	r.Seen = w.now
-	e.leave(r)
+	r.LastSeen = w.now
+	e.closeRequest(r)
 	switch r.State {
 	case RequestExpired:
 		return CauseTokenNotOpen
@@ -221,18 +221,18 @@
 		if r.AnswerID != m.MessageID {
 			return CauseTokenNotOpen
 		}
-	case RequestOpen, RequestFeed:
+	case RequestOpen, RequestObserving:
 		r.State = RequestAnswered
 		r.AnswerID = m.MessageID
 		if m.HasObserve {
-			r.State = RequestFeed
+			r.State = RequestObserving
 		}
 	}
 	return CauseNone
 }
 
-// mayHaveRun reports whether the packet is a request that must not run twice.
-func (w *packetWork) mayHaveRun() bool {
+// mustNotRunTwice reports whether the packet is a request that must not run twice.
+func (w *packetWork) mustNotRunTwice() bool {
 	return w.service.Protocol == bundle.ProtocolCoAP && w.p.CoAP.IsRequest() && !w.p.CoAP.IsIdempotent()
 }
 
@@ -243,55 +243,55 @@
 	defer s.mu.Unlock()
 	view := e.view.Load()
 	for k, r := range s.m {
-		home := view.Home(k.flow.Hash())
+		owner := view.Home(k.flow.Hash())
 		switch {
-		case home != nil && home.ID != e.self:
+		case owner != nil && owner.ID != e.self:
 			// Another daemon is home now and lets the answer through.
-			e.leave(&r)
+			e.closeRequest(&r)
 			delete(s.m, k)
-		case e.beforeFence(&r):
+		case e.seenBeforePause(&r):
 			// While this process was paused, others were home: the answer has gone
 			// past it, and the slot would stay taken for nothing. If there was no
 			// answer, the caller's repetition opens the request again.
-			e.leave(&r)
+			e.closeRequest(&r)
 			delete(s.m, k)
 		case r.State == RequestOpen && now.After(r.Deadline):
-			out = e.expired(&k, &r, out)
+			out = e.answerExpired(&k, &r, out)
 			e.Requests.open.Add(-1)
 			r.State = RequestExpired
-			r.Deadline, r.Seen = now.Add(r.Deadline.Sub(r.Opened)), now
+			r.Deadline, r.LastSeen = now.Add(r.Deadline.Sub(r.Opened)), now
 			s.m[k] = r
-		case r.State != RequestOpen && now.Sub(r.Seen) > e.keepFor(&k, &r):
-			e.letGo(&r)
+		case r.State != RequestOpen && now.Sub(r.LastSeen) > e.retention(&k, &r):
+			e.releaseSlot(&r)
 			delete(s.m, k)
 		}
 	}
 	return out
 }
 
-// beforeFence reports whether a request was last seen before a pause of this process.
-func (e *Engine) beforeFence(r *Request) bool {
-	return uint32(e.seconds(r.Seen))+1 < e.fence.Load()
+// seenBeforePause reports whether a request was last seen before a pause of this process.
+func (e *Engine) seenBeforePause(r *Request) bool {
+	return uint32(e.seconds(r.LastSeen))+1 < e.resumedAt.Load()
 }
 
-// keepFor is how long a request is kept after its last packet. One that expired
+// retention is how long a request is kept after its last packet. One that expired
 // holds its slot as long again as its deadline was: its upstream may still work
 // on it, but gives it up as well.
-func (e *Engine) keepFor(k *requestKey, r *Request) time.Duration {
+func (e *Engine) retention(k *requestKey, r *Request) time.Duration {
 	t := e.routing.Load()
-	if r.State == RequestFeed && t != nil {
+	if r.State == RequestObserving && t != nil {
 		if s := t.Service(k.flow.VNI()); s != nil {
 			return s.IdleTimeout
 		}
 	}
 	if r.State == RequestExpired {
-		return r.Deadline.Sub(r.Seen)
+		return r.Deadline.Sub(r.LastSeen)
 	}
 	return MaxTransmitSpan
 }
 
-// expired answers a request that got no answer in time: it may have run.
-func (e *Engine) expired(k *requestKey, r *Request, out []Output) []Output {
+// answerExpired answers a request that got no answer in time: it may have run.
+func (e *Engine) answerExpired(k *requestKey, r *Request, out []Output) []Output {
 	w := packetWork{out: out, hash: k.flow.Hash(), p: &Packet{}}
 	w.p.Header.VNI = k.flow.VNI()
 	w.p.Header.EtherType = etherTypeOf(k.flow.CallerAddr().Addr())
@@ -300,6 +300,6 @@
 	// The upstream may have acknowledged the message already, so the answer is a
 	// separate one.
 	w.p.CoAP.Type = message.NonConfirmable
-	e.Counters.Drops[e.unknown(&w)].Add(1)
+	e.Counters.Drops[e.replyUnknown(&w)].Add(1)
 	return w.out
 }
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -10,13 +10,13 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// endedFor keeps a closed TCP flow for its last segments: twice the maximum
+// endedRetentionSeconds keeps a closed TCP flow for its last segments: twice the maximum
 // segment lifetime (RFC 9293, section 3.4.1) shortened as common systems do.
-const endedFor = 60
+const endedRetentionSeconds = 60
 
-// proposedFor keeps a proposal for as long as a caller repeats its first message
+// proposalRetentionSeconds keeps a proposal for as long as a caller repeats its first message
 // (RFC 7252, MAX_TRANSMIT_SPAN).
-const proposedFor = 60
+const proposalRetentionSeconds = 60
 
 // SweepResult says how far a sweep of a shard got.
 type SweepResult struct {
@@ -38,25 +38,25 @@
 	}
 	s := sweep{e: e, view: e.view.Load(), routing: t, now: e.seconds(now), budget: budget, out: out}
 	e.Flows.Visit(shard, s.visit)
-	result := SweepResult{AwaitingConfirmation: s.told, Sent: budget - s.budget, Complete: !s.short}
+	result := SweepResult{AwaitingConfirmation: s.awaiting, Sent: budget - s.budget, Complete: !s.exhausted}
 	return e.expire(now, shard, s.out), result
 }
 
 // sweep is the state of one pass through a shard.
 type sweep struct {
-	e       *Engine
-	view    *numberedView
-	routing *bundle.Routing
-	now     Seconds
-	budget  int
-	told    int
-	short   bool
-	out     []Output
+	e         *Engine
+	view      *numberedView
+	routing   *bundle.Routing
+	now       Seconds
+	budget    int
+	awaiting  int
+	exhausted bool
+	out       []Output
 }
 
 func (s *sweep) visit(k *Key, r *Record) bool {
 	svc := s.routing.Service(k.VNI())
-	if svc == nil || s.idle(svc, r) {
+	if svc == nil || s.isIdle(svc, r) {
 		if r.Flags&RecordCounted != 0 {
 			s.e.uncount(r)
 			s.e.Counters.Ended.Add(1)
@@ -64,47 +64,47 @@
 		return false
 	}
 	switch {
-	case r.State == StateFirm:
-		return s.place(k, r)
-	case r.State == StateTentative && r.Upstream != 0 && r.Other != 0 && s.leaving():
-		s.propose(k, r)
+	case r.State == StateCommitted:
+		return s.replicate(k, r)
+	case r.State == StateTentative && r.Upstream != 0 && r.ReplicaTag != 0 && s.leaving():
+		s.sendProposal(k, r)
 	}
 	return true
 }
 
-// idle reports whether a record can go. A copy sees few of the flow's packets, so
+// isIdle reports whether a record can go. A copy sees few of the flow's packets, so
 // it is kept until its home has stopped renewing it.
-func (s *sweep) idle(svc *bundle.ServiceRoute, r *Record) bool {
+func (s *sweep) isIdle(svc *bundle.ServiceRoute, r *Record) bool {
 	limit := Seconds(svc.IdleTimeout / time.Second)
 	if r.State == StateEnded {
-		limit = endedFor
+		limit = endedRetentionSeconds
 	}
 	if r.Flags&RecordBackup != 0 {
 		limit *= backupIdleFactor
 	}
-	if r.State == StateHeld || r.State == StateTentative && r.Other == 0 {
-		limit = proposedFor
+	if r.State == StateDeferred || r.State == StateTentative && r.ReplicaTag == 0 {
+		limit = proposalRetentionSeconds
 	}
-	return s.now > r.Seen+limit
+	return s.now > r.LastSeen+limit
 }
 
-// place sees to it that home and backup both have the record. It returns false
+// replicate sees to it that home and backup both have the record. It returns false
 // for a record that has become no concern of this daemon.
-func (s *sweep) place(k *Key, r *Record) bool {
+func (s *sweep) replicate(k *Key, r *Record) bool {
 	u := s.routing.Upstream(r.Upstream)
 	h := k.Hash()
-	home := s.view.Home(h)
-	if u == nil || home == nil {
+	owner := s.view.Home(h)
+	if u == nil || owner == nil {
 		return true
 	}
-	if home.ID == s.view.Self {
-		s.atHome(k, r, u, h)
+	if owner.ID == s.view.Self {
+		s.replicateAsOwner(k, r, u, h)
 		return true
 	}
-	keeps := s.view.Keeps(h, home.ID)
+	keeps := s.view.Keeps(h, owner.ID)
 	unconfirmed := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !keeps)
-	if home.Tag() != r.Other || unconfirmed {
-		s.tell(k, r, home.Data, geneve.FlagConfirm)
+	if owner.Tag() != r.ReplicaTag || unconfirmed {
+		s.sendRecord(k, r, owner.Data, geneve.FlagConfirm)
 		return true
 	}
 	// A former holder's record isn't renewed. Kept, it could one day speak for a
@@ -112,25 +112,25 @@
 	return s.view.Recent || keeps
 }
 
-// atHome tells the backup and the other zones what they lack since members
+// replicateAsOwner tells the backup and the other zones what they lack since members
 // changed.
-func (s *sweep) atHome(k *Key, r *Record, u *bundle.UpstreamRoute, h peer.FlowHash) {
-	if backup := s.view.Backup(h, u.Zone, s.view.Self); backup != nil && backup.Tag() != r.Other {
-		s.tell(k, r, backup.Data, geneve.FlagBackup|geneve.FlagConfirm)
+func (s *sweep) replicateAsOwner(k *Key, r *Record, u *bundle.UpstreamRoute, h peer.FlowHash) {
+	if backup := s.view.Backup(h, u.Zone, s.view.Self); backup != nil && backup.Tag() != r.ReplicaTag {
+		s.sendRecord(k, r, backup.Data, geneve.FlagBackup|geneve.FlagConfirm)
 	}
-	if r.Replicated == s.view.number {
+	if r.ReplicatedView == s.view.number {
 		return
 	}
-	next := s.view.previous != nil && r.Replicated == max(1, s.view.number-1)
+	next := s.view.previous != nil && r.ReplicatedView == max(1, s.view.number-1)
 	for _, z := range s.view.Zones() {
 		m := s.view.Replica(h, z, s.view.Self)
 		if m == nil || z == u.Zone || next && s.hadReplica(h, z, m) {
 			continue
 		}
-		s.tell(k, r, m.Data, geneve.FlagBackup)
+		s.sendRecord(k, r, m.Data, geneve.FlagBackup)
 	}
-	if !s.short {
-		r.Replicated = s.view.number
+	if !s.exhausted {
+		r.ReplicatedView = s.view.number
 	}
 }
 
@@ -141,17 +141,17 @@
 	return m != nil && m.State == peer.StateLeaving
 }
 
-// propose passes a proposal on that only this daemon may still know: a firm
+// sendProposal passes a proposal on that only this daemon may still know: a firm
 // record of the flow can have died with its backup.
-func (s *sweep) propose(k *Key, r *Record) {
+func (s *sweep) sendProposal(k *Key, r *Record) {
 	h := k.Hash()
 	self := s.view.Member(s.view.Self)
-	home := s.view.Home(h)
-	for _, m := range []*peer.Member{home, s.view.Replica(h, self.Zone, home.ID)} {
+	owner := s.view.Home(h)
+	for _, m := range []*peer.Member{owner, s.view.Replica(h, self.Zone, owner.ID)} {
 		if m == nil || m.ID == s.view.Self || s.budget <= 0 {
 			continue
 		}
-		s.tell(k, r, m.Data, 0)
+		s.sendRecord(k, r, m.Data, 0)
 		s.out[len(s.out)-1].Header.Hop.Kind = geneve.KindPropose
 	}
 }
@@ -163,9 +163,9 @@
 	return old != nil && old.Tag() == m.Tag()
 }
 
-func (s *sweep) tell(k *Key, r *Record, to netip.AddrPort, flags geneve.Flags) {
+func (s *sweep) sendRecord(k *Key, r *Record, to netip.AddrPort, flags geneve.Flags) {
 	if s.budget <= 0 {
-		s.short = true
+		s.exhausted = true
 		return
 	}
 	inner, err := ip.BuildHeaders(k.CallerAddr(), k.ServiceAddr(), k.Protocol())
@@ -174,7 +174,7 @@
 	}
 	s.budget--
 	if flags&geneve.FlagConfirm != 0 {
-		s.told++
+		s.awaiting++
 	}
 	s.out = append(s.out, Output{
 		To: to,
@@ -182,7 +182,7 @@
 			VNI:       k.VNI(),
 			EtherType: etherTypeOf(k.CallerAddr().Addr()),
 			Control:   true,
-			Hop:       learnHop(s.view.Self, r, flags),
+			Hop:       replicateHop(s.view.Self, r, flags),
 		},
 		Inner: inner,
 	})
--- a/internal/connection/caller/table.go
+++ b/internal/connection/caller/table.go
@@ -18,11 +18,11 @@
 const (
 	// StateTentative is a placing that no other member has confirmed yet.
 	StateTentative RecordState = iota + 1
-	// StateFirm is a record that its backup knows, or that came from a holder.
-	StateFirm
-	// StateHeld is a flow that isn't placed yet, since its home is beyond a cut and
+	// StateCommitted is a record that its backup knows, or that came from a holder.
+	StateCommitted
+	// StateDeferred is a flow that isn't placed yet, since its home is beyond a cut and
 	// may have placed it there.
-	StateHeld
+	StateDeferred
 	// StateEnded keeps a closed TCP flow for its last segments.
 	StateEnded
 )
@@ -34,9 +34,9 @@
 const (
 	// RecordBackup marks a record that is kept for another daemon.
 	RecordBackup RecordFlags = 1 << iota
-	// RecordUnsure marks a flow that was placed while an earlier record of it
+	// RecordUncertain marks a flow that was placed while an earlier record of it
 	// may have been lost.
-	RecordUnsure
+	RecordUncertain
 	// RecordForwarded marks a TCP flow of which a payload byte went to the upstream.
 	RecordForwarded
 	// RecordAnswered marks a flow whose upstream has answered.
@@ -59,27 +59,27 @@
 // Record is what is known of one flow: 32 bytes beside its key of 40.
 type Record struct {
 	Upstream bundle.UpstreamID
-	// Seen is when the last packet passed.
-	Seen Seconds
-	// Placed is when the flow was placed, in seconds since 1970. A flow that was
+	// LastSeen is when the last packet passed.
+	LastSeen Seconds
+	// PlacedAt is when the flow was placed, in seconds since 1970. A flow that was
 	// placed again, since its holders seemed dead, has two records until they
 	// meet; the later one holds.
-	Placed uint32
-	// Told is when the other holder last confirmed the record. While a flow is
+	PlacedAt uint32
+	// ConfirmedAt is when the other holder last confirmed the record. While a flow is
 	// held it counts the packets held.
-	Told Seconds
-	// Other is the tag of the other holder, home or backup, that has confirmed the
+	ConfirmedAt Seconds
+	// ReplicaTag is the tag of the other holder, home or backup, that has confirmed the
 	// record, or zero. While a flow is held it names the message held.
-	Other uint32
-	Flags RecordFlags
-	State RecordState
-	// Checked and Replicated are numbers of views: that under which the other
+	ReplicaTag uint32
+	Flags      RecordFlags
+	State      RecordState
+	// CheckedView and ReplicatedView are numbers of views: that under which the other
 	// holder was last found to be the right one, and that under which the other
 	// zones were told. They wrap; renewing the record mends what that hides.
-	Checked, Replicated uint8
-	// Pauses is the number of this process's pauses when the record was last
+	CheckedView, ReplicatedView uint8
+	// PauseCount is the number of this process's pauses when the record was last
 	// known to hold.
-	Pauses uint8
+	PauseCount uint8
 }
 
 const (
--- a/internal/connection/caller/table_test.go
+++ b/internal/connection/caller/table_test.go
@@ -72,7 +72,7 @@
 		c.exchange(c.nodes[0], get)
 		Expect(c.flowsAt("orders")).To(BeEquivalentTo(1))
 		c.idle(25 * time.Minute)
-		Expect(c.holders(get)).To(BeEmpty())
+		Expect(c.replicas(get)).To(BeEmpty())
 		Expect(c.flowsAt("orders")).To(BeZero())
 	})
 
@@ -87,9 +87,9 @@
 			r.id, r.token = uint16(i+2), byte(i+2)
 			c.exchange(c.nodes[i%3], r)
 		}
-		Expect(len(c.holders(get))).To(BeNumerically(">=", 2))
-		c.kill(c.homeOf(get))
-		c.settle(true)
+		Expect(len(c.replicas(get))).To(BeNumerically(">=", 2))
+		c.kill(c.ownerOf(get))
+		c.syncViews(true)
 		r := get
 		r.id, r.token = 99, 99
 		Expect(c.exchange(c.other(), r)).To(Equal(u))
@@ -104,7 +104,7 @@
 		}
 		n := c.nodes[1]
 		n.member.State = 1 // Leaving.
-		c.settle(true)
+		c.syncViews(true)
 		short := 0
 		for shard := range n.engine.Flows.Shards() {
 			out, result := n.engine.Sweep(c.now, shard, 0, nil)
--- a/internal/connection/caller/tcp.go
+++ b/internal/connection/caller/tcp.go
@@ -7,9 +7,9 @@
 	return w.p.IP.Protocol == ip.ProtocolTCP && w.p.IP.TCPFlags&(ip.TCPSyn|ip.TCPAck) == ip.TCPSyn
 }
 
-// followTCP notes what a segment does to its flow and reports whether it ended
+// trackTCP notes what a segment does to its flow and reports whether it ended
 // it (RFC 9293, section 3.6): by RST, or by the second FIN.
-func (e *Engine) followTCP(w *packetWork, r *Record) bool {
+func (e *Engine) trackTCP(w *packetWork, r *Record) bool {
 	if w.p.IP.Protocol != ip.ProtocolTCP || r.State == StateEnded {
 		return false
 	}
@@ -27,7 +27,7 @@
 	if w.p.IP.TCPFlags&ip.TCPRst == 0 && r.Flags&both != both {
 		return false
 	}
-	if r.State != StateFirm {
+	if r.State != StateCommitted {
 		return false
 	}
 	r.State = StateEnded
@@ -42,7 +42,7 @@
 	if w.p.IP.Protocol != ip.ProtocolTCP || w.p.IP.TCPFlags&ip.TCPRst == 0 || r.Flags&tried != 0 {
 		return false
 	}
-	u := e.choose(w, r.Upstream)
+	u := e.chooseUpstream(w, r.Upstream)
 	if u == nil {
 		return false
 	}
@@ -50,7 +50,7 @@
 	r.Upstream = u.ID
 	e.count(r)
 	r.Flags |= RecordRetried
-	r.Other, r.Checked, r.Replicated = 0, 0, 0
+	r.ReplicaTag, r.CheckedView, r.ReplicatedView = 0, 0, 0
 	return true
 }
 
@@ -61,7 +61,7 @@
 	}
 	inner, err := ip.BuildReset(&w.p.IP)
 	if err == nil {
-		e.toCaller(w, inner)
+		e.sendToCaller(w, inner)
 	}
 	return CauseNoFlow
 }
--- a/internal/connection/caller/tcp_test.go
+++ b/internal/connection/caller/tcp_test.go
@@ -23,7 +23,7 @@
 		fin := syn
 		fin.TCPFlags = ip.TCPFin | ip.TCPAck
 		c.segment(c.nodes[2], fin, "")
-		c.back(c.nodes[0], first[0], fin)
+		c.segmentFromUpstream(c.nodes[0], first[0], fin)
 		Expect(c.flowsAt("stream")).To(BeZero())
 		Expect(c.segment(c.nodes[1], data, "")).To(Equal(first), "the last ACK")
 	})
@@ -39,11 +39,11 @@
 		first := c.segment(c.nodes[0], syn, "")
 		rst := syn
 		rst.TCPFlags = ip.TCPRst | ip.TCPAck
-		c.back(c.nodes[1], first[0], rst)
+		c.segmentFromUpstream(c.nodes[1], first[0], rst)
 		Expect(c.resets).To(BeZero(), "the caller doesn't see the first refusal")
 		second := c.segment(c.nodes[2], syn, "")
 		Expect(second).NotTo(Equal(first))
-		c.back(c.nodes[1], second[0], rst)
+		c.segmentFromUpstream(c.nodes[1], second[0], rst)
 		Expect(c.resets).To(Equal(1), "the second is final")
 	})
 
@@ -56,7 +56,7 @@
 		c.segment(c.nodes[0], data, "payload")
 		rst := syn
 		rst.TCPFlags = ip.TCPRst
-		c.back(c.nodes[1], first[0], rst)
+		c.segmentFromUpstream(c.nodes[1], first[0], rst)
 		Expect(c.resets).To(Equal(1))
 	})
 })
--- a/internal/connection/geneve/geneve_test.go
+++ b/internal/connection/geneve/geneve_test.go
@@ -14,7 +14,7 @@
 
 func hopHeader() geneve.Header {
 	h := geneve.Header{VNI: 0xabcdef, EtherType: geneve.EtherTypeIPv6, Control: true}
-	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Flags: geneve.FlagPlace, Count: 3, Upstream: 7, Owner: 9}
+	h.Hop = geneve.Hop{Kind: geneve.KindQuery, Flags: geneve.FlagPlace, Count: 3, Upstream: 7, Owner: 9}
 	for id := range uint64(5) {
 		h.Hop.AddReplica(id + 100)
 	}
--- a/internal/connection/geneve/hop.go
+++ b/internal/connection/geneve/hop.go
@@ -34,19 +34,19 @@
 	KindNone Kind = iota
 	// KindForward asks the home to handle the packet.
 	KindForward
-	// KindAsk goes through the members that may hold the flow's record. One that
+	// KindQuery goes through the members that may hold the flow's record. One that
 	// has it delivers the packet and tells the home.
-	KindAsk
-	// KindChoose asks the placer of the service for an upstream.
-	KindChoose
-	// KindChosen brings the packet back to the home with the upstream chosen.
-	KindChosen
+	KindQuery
+	// KindPlacementRequest asks the placer of the service for an upstream.
+	KindPlacementRequest
+	// KindPlacementReply brings the packet back to the home with the upstream chosen.
+	KindPlacementReply
 	// KindRefresh renews the flow's record at all who keep it, on the packet's way.
 	KindRefresh
 	// KindPropose tells a proposal, as KindLearn tells a record.
 	KindPropose
-	// KindLearn tells a record and carries only the headers of a packet.
-	KindLearn
+	// KindReplicate tells a record and carries only the headers of a packet.
+	KindReplicate
 	kindEnd
 )
 
@@ -59,20 +59,20 @@
 	FlagAnswer Flags = 1 << iota
 	// FlagPlace lets the last member asked record the proposed upstream.
 	FlagPlace
-	// FlagUnsure says that every holder of the flow's record may have died. Of a
+	// FlagUncertain says that every holder of the flow's record may have died. Of a
 	// record that is told, it says that it was made in such a case.
-	FlagUnsure
+	FlagUncertain
 	// FlagBackup marks a record told to a backup, not to a home.
 	FlagBackup
 	// FlagRetried marks the second placing of a TCP flow.
 	FlagRetried
 	// FlagConfirm asks who is told a record to tell it back.
 	FlagConfirm
-	// FlagFoundUnsure says that the record in Found was made when every holder of
+	// FlagFoundUncertain says that the record in Found was made when every holder of
 	// an earlier one may have died.
-	FlagFoundUnsure
-	// FlagOverruled says that Upstream isn't what the home has proposed.
-	FlagOverruled
+	FlagFoundUncertain
+	// FlagOverridden says that Upstream isn't what the home has proposed.
+	FlagOverridden
 )
 
 // Hop is the option between daemons.
@@ -85,9 +85,9 @@
 	Upstream bundle.UpstreamID
 	// Found is the newest record that those asked so far had, if there is doubt.
 	Found bundle.UpstreamID
-	// Placed is when the flow was placed at Found, or at Upstream if that is zero,
+	// PlacedAt is when the flow was placed at Found, or at Upstream if that is zero,
 	// in seconds since 1970. Of two records of a flow the later one holds.
-	Placed uint32
+	PlacedAt uint32
 	// Owner is the member that is told who has the record.
 	Owner uint64
 	// Replicas are the members yet to be asked, the next one first.
@@ -159,7 +159,7 @@
 	h.Upstream = bundle.UpstreamID(binary.BigEndian.Uint64(b[4:]))
 	h.Owner = binary.BigEndian.Uint64(b[12:])
 	h.Found = bundle.UpstreamID(binary.BigEndian.Uint64(b[20:]))
-	h.Placed = binary.BigEndian.Uint32(b[28:])
+	h.PlacedAt = binary.BigEndian.Uint32(b[28:])
 	for i := range n {
 		h.Replicas[i] = binary.BigEndian.Uint64(b[hopFixedBytes+i*memberBytes:])
 	}
@@ -175,7 +175,7 @@
 	b = binary.BigEndian.AppendUint64(b, uint64(h.Upstream))
 	b = binary.BigEndian.AppendUint64(b, h.Owner)
 	b = binary.BigEndian.AppendUint64(b, uint64(h.Found))
-	b = binary.BigEndian.AppendUint32(b, h.Placed)
+	b = binary.BigEndian.AppendUint32(b, h.PlacedAt)
 	for _, id := range h.Replicas[:h.NumReplicas] {
 		b = binary.BigEndian.AppendUint64(b, id)
 	}
