--- a/cmd/fescueshed/zone.go
+++ b/cmd/fescueshed/zone.go
@@ -24,7 +24,7 @@
 
 // zones returns the zones at the store, a context with the flags' timeout, and a clean-up.
 func (f *zoneFlags) zones(ctx context.Context) (*operator.Zones, context.Context, func()) {
-	calls, stop := objects.NewCaller(f.Store)
+	calls, stop := objects.NewClient(f.Store)
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
 	z := &operator.Zones{Evacuated: platform.NewEvacuationNames(calls), Upstreams: platform.NewRegistrations(calls)}
 	return z, ctx, func() {
--- a/internal/connection/cookie/bench_test.go
+++ b/internal/connection/cookie/bench_test.go
@@ -113,7 +113,7 @@
 	b.ReportAllocs()
 	now := start
 	for i := 0; b.Loop(); i++ {
-		gone := registry.Change{Registration: list[7], Gone: true}
+		gone := registry.Change{Registration: list[7], Removed: true}
 		list[7].ID += 1 << 24
 		e.Update([]registry.Change{gone, {Registration: list[7]}}, now)
 		if i%10_000 == 0 {
--- a/internal/connection/cookie/differential_test.go
+++ b/internal/connection/cookie/differential_test.go
@@ -123,7 +123,7 @@
 		}
 	}
 	c.revision++
-	r.Born, r.Sequence, r.Revision = registry.UnixMilli(c.now.UnixMilli()), 1, c.revision
+	r.StartTime, r.Sequence, r.Revision = registry.UnixMilli(c.now.UnixMilli()), 1, c.revision
 	delay := time.Duration(rapid.IntRange(0, 4000).Draw(c.t, "registered after"))
 	c.late = append(c.late, lateEntry{at: c.reaches(c.now.Add(delay * time.Millisecond)), entry: r})
 }
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -142,7 +142,7 @@
 func (e *Engine) Update(changes []registry.Change, now time.Time) []Reset {
 	var out []Reset
 	for i := range changes {
-		if ch := &changes[i]; ch.Gone {
+		if ch := &changes[i]; ch.Removed {
 			e.unlist(ch.ID, now)
 		} else {
 			out = append(out, e.list(&ch.Registration, now)...)
@@ -171,11 +171,11 @@
 		// After a restore of the store each entry has another position. What was counted from its last change goes on.
 		u.entry = *r
 		return nil
-	case u != nil && r.Unusable && (u.listed || !r.Known()):
+	case u != nil && r.Unusable && (u.listed || !r.HasContent()):
 		// Its open flows go on by what was known before.
 		u.entry.Revision, u.entry.Unusable = r.Revision, true
 		return nil
-	case u == nil && !r.Known():
+	case u == nil && !r.HasContent():
 		e.unlisted(r.ID, netip.AddrPort{}, now)
 		return nil
 	case u == nil:
--- a/internal/connection/cookie/evacuation_test.go
+++ b/internal/connection/cookie/evacuation_test.go
@@ -117,7 +117,7 @@
 		e, list := twoZones()
 		e.Evacuate([]bundle.Zone{ownZone}, start)
 		more := registration(9)
-		list[0].Born, list[0].Revision = 99, list[0].Revision+1
+		list[0].StartTime, list[0].Revision = 99, list[0].Revision+1
 		setUpstreams(e, append(list, more), start)
 		for n := range 100 {
 			Expect(newCaller(n, feedAt).open(e, start).Route.Zone).To(Equal(otherZone))
--- a/internal/connection/cookie/restart_test.go
+++ b/internal/connection/cookie/restart_test.go
@@ -20,7 +20,7 @@
 func bornRegistrations(n int) []registry.Registration {
 	list := registrations(n)
 	for i := range list {
-		list[i].Born, list[i].Sequence = bornFirst, 50
+		list[i].StartTime, list[i].Sequence = bornFirst, 50
 	}
 	return list
 }
@@ -28,7 +28,7 @@
 // again is the entry that an upstream writes when it has started again.
 func again(r registry.Registration) registry.Registration {
 	r.Revision += 1000
-	r.Born += 90_000
+	r.StartTime += 90_000
 	r.Sequence, r.Warmup = 1, 2*time.Second
 	return r
 }
@@ -125,9 +125,9 @@
 		Expect(update(e, r, now)).To(BeEmpty())
 		Expect(id(e.Decide(c.request(5), now))).To(Equal(u.Route.ID))
 	},
-		Entry("a sequence that falls", func(r *registry.Registration) { r.Born, r.Sequence = 0, 3 }),
-		Entry("a warm-up that begins", func(r *registry.Registration) { r.Born, r.Warmup = 0, time.Second }),
-		Entry("an earlier start, since a clock was set or a write came late", func(r *registry.Registration) { r.Born -= 5 }),
+		Entry("a sequence that falls", func(r *registry.Registration) { r.StartTime, r.Sequence = 0, 3 }),
+		Entry("a warm-up that begins", func(r *registry.Registration) { r.StartTime, r.Warmup = 0, time.Second }),
+		Entry("an earlier start, since a clock was set or a write came late", func(r *registry.Registration) { r.StartTime -= 5 }),
 	)
 
 	// An upstream was found dead, or left out for failing, and started again. Nobody gives
--- a/internal/connection/cookie/silence_test.go
+++ b/internal/connection/cookie/silence_test.go
@@ -26,7 +26,7 @@
 	list := registrations(5)
 	list[4].Zone = otherZone
 	for i := range list {
-		list[i].Born = 1
+		list[i].StartTime = 1
 	}
 	z := &silentZone{Engine: newPatientEngine(list), now: start.Add(time.Second)}
 	at := make(map[bundle.UpstreamID]bool)
@@ -207,7 +207,7 @@
 		left[4].Zone = otherZone
 		left = slices.DeleteFunc(left, func(r registry.Registration) bool { return r.ID == due[0].Upstream.ID })
 		for i := range left {
-			left[i].Born = 1
+			left[i].StartTime = 1
 		}
 		setUpstreams(z.Engine, left, sent)
 		z.DueProbes(sent)
@@ -233,7 +233,7 @@
 		again := registrations(5)
 		again[4].Zone = otherZone
 		for i := range again[:4] {
-			again[i].Born, again[i].Revision = 5, again[i].Revision+10
+			again[i].StartTime, again[i].Revision = 5, again[i].Revision+10
 		}
 		setUpstreams(z.Engine, again, sent.Add(10*ms))
 		for _, p := range due {
@@ -289,14 +289,14 @@
 	It("lives if they were its former incarnation's", func() {
 		list := registrations(3)
 		for i := range list {
-			list[i].Born = 1
+			list[i].StartTime = 1
 		}
 		e := newPatientEngine(list)
 		_, u, now := doubted(e)
 		e.DueProbes(now)
 		for i := range list {
 			if list[i].ID == u.Route.ID {
-				list[i].Born, list[i].Revision = 5, list[i].Revision+10
+				list[i].StartTime, list[i].Revision = 5, list[i].Revision+10
 			}
 		}
 		setUpstreams(e, list, now.Add(10*ms))
--- a/internal/connection/cookie/world_test.go
+++ b/internal/connection/cookie/world_test.go
@@ -121,7 +121,7 @@
 	}
 	for _, u := range e.Upstreams() {
 		if !listed[u.Route.ID] {
-			changes = append(changes, registry.Change{Registration: registry.Registration{ID: u.Route.ID}, Gone: true})
+			changes = append(changes, registry.Change{Registration: registry.Registration{ID: u.Route.ID}, Removed: true})
 		}
 	}
 	return e.Update(changes, now)
--- a/internal/connection/metadata/platform.go
+++ b/internal/connection/metadata/platform.go
@@ -16,13 +16,13 @@
 type Platform struct {
 	Packets cookie.Codec
 	// Store makes the calls that the feeds are read by.
-	Store         *objects.Caller
-	Bundles       objects.Feed[bundle.Accepted]
-	Registrations objects.Feed[registry.Registration]
+	Store         *objects.Client
+	Bundles       objects.ListWatcher[bundle.Accepted]
+	Registrations objects.ListWatcher[registry.Registration]
 	// Evacuations has an object for each evacuated zone.
-	Evacuations objects.Feed[bundle.Zone]
+	Evacuations objects.ListWatcher[bundle.Zone]
 	// Contacts is the object by which daemons find each other.
-	Contacts objects.Cell[peer.Contacts]
+	Contacts objects.SingleObject[peer.Contacts]
 	// Readiness makes the handler that routers ask.
 	Readiness func(ready func() bool) http.Handler
 	// HealthID reads from a health answer which upstream gave it, zero if unknown.
--- a/internal/connection/peer/bench_test.go
+++ b/internal/connection/peer/bench_test.go
@@ -53,7 +53,7 @@
 			told := &peer.Catalog{Known: true, Listed: true}
 			for i := range n {
 				told.Registrations = append(told.Registrations, registry.Registration{
-					ID: bundle.UpstreamID(1 + i*7919), Service: "huvo11a", Zone: "col-hall-a", Slots: 2, Born: 1765000000000,
+					ID: bundle.UpstreamID(1 + i*7919), Service: "huvo11a", Zone: "col-hall-a", Slots: 2, StartTime: 1765000000000,
 					Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(i >> 8), byte(i)}), 8080), Created: 1, Revision: 2,
 				})
 			}
--- a/internal/connection/peer/news_test.go
+++ b/internal/connection/peer/news_test.go
@@ -22,7 +22,7 @@
 			n.Changes = append(n.Changes, registry.Change{Registration: registry.Registration{
 				ID: bundle.UpstreamID(1<<40 + i), Service: "newsletter-edit", Zone: "regensburg",
 				Address: netip.MustParseAddrPort("10.128.100.100:50000"), Slots: 2, Warmup: 4 * time.Second,
-				Created: objects.Position(1<<20 + i), Revision: objects.Position(1<<20 + i), Born: 1_764_720_000_000, Sequence: 70_000,
+				Created: objects.Position(1<<20 + i), Revision: objects.Position(1<<20 + i), StartTime: 1_764_720_000_000, Sequence: 70_000,
 			}})
 		}
 		c, err := peer.NewCodec[peer.News]([]byte("secret"), peer.DomainNews)
--- a/internal/connection/peer/packed_test.go
+++ b/internal/connection/peer/packed_test.go
@@ -25,7 +25,7 @@
 	if err := b.Check(); err != nil {
 		panic(err) // All that tests make is good.
 	}
-	return bundle.Whole(bundle.Accepted{Version: v, Bundle: b})
+	return bundle.FullUpdate(bundle.Accepted{Version: v, Bundle: b})
 }
 
 func TestPackedUpdateIsReadAsItWasWritten(t *testing.T) {
--- a/internal/connection/peer/rpc_test.go
+++ b/internal/connection/peer/rpc_test.go
@@ -51,7 +51,7 @@
 // takes longer than the call may take, and is thrown away though it was coming.
 func TestCallRPC(t *testing.T) {
 	const parts = 20
-	limits := transfer.Limits{Begin: time.Second, Stall: time.Second}
+	limits := transfer.Limits{FirstByteTimeout: time.Second, StallTimeout: time.Second}
 	for name, tc := range map[string]struct {
 		stopAfter int
 		want      error
--- a/internal/process/carrier/bundle.go
+++ b/internal/process/carrier/bundle.go
@@ -79,7 +79,7 @@
 	v bundle.Version, from bundleSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
 ) {
 	routes, changed := 0, 0
-	taken, err := c.inForce.Take(v, func() error {
+	taken, err := c.inForce.ApplyIfNewer(v, func() error {
 		a, step, err := next(c.bundleInForce())
 		if err != nil {
 			return err
@@ -116,7 +116,7 @@
 // as after the store was restored from a copy, and no change would ever lead on from that.
 func (c *Carrier) refuseBundle(v bundle.Version, from bundleSource, err error) {
 	klog.ErrorS(err, "Bundle refused", "Version", v, "Source", from.source, "Name", from.name)
-	if eris.Is(err, bundle.ErrNotLedOn) {
+	if eris.Is(err, bundle.ErrUpdateMismatch) {
 		c.setLacksWholeBundle(true)
 	}
 }
@@ -131,7 +131,7 @@
 func (c *Carrier) bundleInForce() bundle.Accepted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known.history.Now()
+	return c.known.history.Current()
 }
 
 // confirmBundle notes that this daemon itself has read which bundle is the newest, as of a position.
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -153,7 +153,7 @@
 	defer c.mu.Unlock()
 	n := 0
 	for _, r := range c.known.catalog.InUse() {
-		if r.Known() {
+		if r.HasContent() {
 			n++
 		}
 	}
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/carrier/carrier_test.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store, closeStore := objects.NewCaller(cfg.Store)
+	store, closeStore := objects.NewClient(cfg.Store)
 	t.Cleanup(closeStore)
 	c, stop, err := carrier.New(context.Background(), cfg, platform.Connect(store))
 	if err != nil {
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -63,7 +63,7 @@
 	c.mu.Lock()
 	params := peer.CatalogParams{AsOf: c.known.catalog.AsOf, Digest: c.known.catalog.Digest(), Whole: c.known.lacksWholeList}
 	if !c.known.lacksWholeBundle {
-		params.Version = c.known.history.Now().Version
+		params.Version = c.known.history.Current().Version
 	}
 	c.mu.Unlock()
 	params.Joining = sent.Sub(c.started) < JoinedAfter
@@ -104,7 +104,7 @@
 	began := time.Now()
 	sealed, t, err := peer.CallRPC[[]byte](
 		m.ctx, from, peer.RPC{Method: peer.MethodCatalog, Params: params},
-		transfer.Limits{Begin: timeout, Stall: min(timeout, transfer.DefaultStall)}, &m.pulls,
+		transfer.Limits{FirstByteTimeout: timeout, StallTimeout: min(timeout, transfer.DefaultStallTimeout)}, &m.pulls,
 	)
 	if err != nil && t.Bytes() > 0 {
 		m.logBrokenOff(from, t.Bytes(), time.Since(began), err)
@@ -148,7 +148,7 @@
 	if got.AsOf < c.known.catalog.AsOf || !got.Listed && !got.Changed {
 		return c.takeHeldBack(&got.Held, now)
 	}
-	c.known.catalog.DoubtFor(got.Doubt, now)
+	c.known.catalog.SuspectRemovalsFor(got.Doubt, now)
 	changed := c.changeList(func() bool {
 		if got.Listed {
 			return c.known.catalog.Replace(got.Registrations, got.AsOf, now)
@@ -177,10 +177,10 @@
 // ended by it. c.mu is held.
 func (c *Carrier) takeHeldBack(h *peer.HeldBack, now time.Time) []cookie.Reset {
 	before := c.known.evacuated.Zones()
-	if c.known.evacuated.HoldBack(h.Zones, h.ZonesFor, now) {
+	if c.known.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
 		c.putEvacuations(before, bundleSource{source: "Peer"}, now)
 	}
-	if c.known.catalog.HoldBack(h.Upstreams, h.UpstreamsFor, now) {
+	if c.known.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
 		return c.follow(now)
 	}
 	return nil
@@ -239,7 +239,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := &peer.Catalog{
-		Version: c.known.history.Now().Version, BundleAsOf: c.known.bundleAsOf, Evacuated: c.known.evacuated.Stored,
+		Version: c.known.history.Current().Version, BundleAsOf: c.known.bundleAsOf, Evacuated: c.known.evacuated.Stored,
 	}
 	var update *bundle.Update
 	if out.Version > params.Version {
@@ -249,16 +249,16 @@
 		out.Gone = c.engine.Gone()
 	}
 	out.AsOf, out.Digest = c.known.catalog.AsOf, c.known.catalog.Digest()
-	out.Doubt = c.known.catalog.Doubt(now)
+	out.Doubt = c.known.catalog.RemovalSuspicion(now)
 	known := c.known.confirmedAll()
 	if known.IsZero() {
 		return out, update
 	}
 	out.Known, out.Age = true, now.Sub(known)
 	if params.Joining {
-		out.Held.Upstreams, out.Held.UpstreamsFor = c.known.catalog.HeldBack(now)
-		out.Held.Zones, out.Held.ZonesFor = c.known.evacuated.HeldBack(now)
-		out.Changes = c.known.catalog.Remembered()
+		out.Held.Upstreams, out.Held.UpstreamsFor = c.known.catalog.HeldEntries(now)
+		out.Held.Zones, out.Held.ZonesFor = c.known.evacuated.HeldZones(now)
+		out.Changes = c.known.catalog.LastKnown()
 		out.Changed = len(out.Changes) > 0
 	}
 	if params.AsOf == out.AsOf && params.Digest == c.known.catalog.Digest() || params.AsOf > out.AsOf {
--- a/internal/process/carrier/command.go
+++ b/internal/process/carrier/command.go
@@ -23,7 +23,7 @@
 	Settings      string `help:"File of settings, JSON with comments." required:"" type:"path"`
 	PrintSettings bool   `help:"Print the settings with their defaults and end."`
 	// Connect returns how the daemon speaks to what is around it.
-	Connect func(store *objects.Caller) metadata.Platform `kong:"-"`
+	Connect func(store *objects.Client) metadata.Platform `kong:"-"`
 }
 
 // settingsPeriod is how often the settings file is looked at: it may change
@@ -49,7 +49,7 @@
 	if err := logs.Setup(w); err != nil {
 		return err
 	}
-	store, closeStore := objects.NewCaller(cfg.Store)
+	store, closeStore := objects.NewClient(cfg.Store)
 	defer closeStore()
 	d, cleanup, err := New(context.WithoutCancel(ctx), cfg, c.Connect(store))
 	if err != nil {
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/carrier/contacts.go
@@ -32,7 +32,7 @@
 // seeds are out of date: seeds name three hosts of the time when the settings were made.
 type contacts struct {
 	c    *Carrier
-	cell objects.Cell[peer.Contacts]
+	cell objects.SingleObject[peer.Contacts]
 	// known is what was read or written last, at a time, in an epoch of the store.
 	known objects.Object[peer.Contacts]
 	at    time.Time
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/carrier/evacuation.go
@@ -23,9 +23,9 @@
 func (c *Carrier) changeEvacuations(ch objects.Changes[bundle.Zone], now time.Time) {
 	changes := make([]evacuation.Change, 0, len(ch.List))
 	for i := range ch.List {
-		changes = append(changes, evacuation.Change{Zone: evacuatedZone(&ch.List[i].Object), Taken: ch.List[i].Deleted})
+		changes = append(changes, evacuation.Change{Zone: evacuatedZone(&ch.List[i].Object), Lifted: ch.List[i].Deleted})
 	}
-	c.readEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.After(changes, ch.AsOf) })
+	c.readEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.WithChanges(changes, ch.AsOf) })
 }
 
 // evacuatedZone returns the zone that an object names. That it is there is the request, whatever it
@@ -48,7 +48,7 @@
 // takeEvacuations takes in evacuated zones unless a later position's are known. c.mu is held.
 func (c *Carrier) takeEvacuations(z evacuation.Zones, from bundleSource, now time.Time) {
 	before := c.known.evacuated.Zones()
-	if c.known.evacuated.Take(z, now) {
+	if c.known.evacuated.Update(z, now) {
 		c.putEvacuations(before, from, now)
 	}
 }
--- a/internal/process/carrier/follower.go
+++ b/internal/process/carrier/follower.go
@@ -40,7 +40,7 @@
 	intake[T]
 	c    *Carrier
 	kind kind
-	feed objects.Feed[T]
+	feed objects.ListWatcher[T]
 	// failed is since when calls fail; zero if they don't.
 	failed time.Time
 	// listing is the list in progress, nil if there is none. fresh says that the next
@@ -48,7 +48,7 @@
 	listing *objects.Listing[T]
 	fresh   bool
 	// stalls counts watches that the store doesn't answer though it answers others.
-	stalls objects.Stalls
+	stalls objects.StallDetector
 	// starting says that the list was begun before the daemon could place flows.
 	starting bool
 	// listedFrom is the position as of which the kind was known when the list in progress was begun.
@@ -57,7 +57,7 @@
 	lines, outdated *logs.Limiter
 }
 
-func newFollower[T any](c *Carrier, k kind, feed objects.Feed[T], in intake[T]) *follower[T] {
+func newFollower[T any](c *Carrier, k kind, feed objects.ListWatcher[T], in intake[T]) *follower[T] {
 	return &follower[T]{intake: in, c: c, kind: k, feed: feed, lines: logs.NewLimiter(unusableLines), outdated: newOutdatedLimiter()}
 }
 
@@ -80,7 +80,7 @@
 		switch {
 		case err == nil:
 			asOf, failures, gone = next, 0, 0
-			f.stalls.Watched()
+			f.stalls.RecordAnswered()
 			if changed {
 				f.c.members.tellNews(time.Now())
 				sleep(ctx, batchPause)
@@ -124,7 +124,7 @@
 	}
 	f.c.mu.Lock()
 	defer f.c.mu.Unlock()
-	return f.stalls.Stalled(began, f.c.known.answered)
+	return f.stalls.RecordStalled(began, f.c.known.answered)
 }
 
 // step lists or watches once and takes in what that brings. A daemon that starts waits a little
@@ -169,7 +169,7 @@
 			return f.known(), nil
 		}
 		if err != nil {
-			f.listing.Failed()
+			f.listing.RecordFailure()
 			return 0, err
 		}
 		f.report(p.Findings, p.Objects)
@@ -179,7 +179,7 @@
 	}
 	s := f.listing.Snapshot()
 	late := objects.Changes[T]{AsOf: s.AsOf}
-	if f.listing.Lacks() {
+	if f.listing.NeedsWatch() {
 		ch, err := f.feed.Watch(ctx, s.AsOf, 0)
 		if eris.Is(err, objects.ErrTooLarge) {
 			// What changed since the oldest page grows only. A list of fresh pages lacks nothing.
@@ -207,7 +207,7 @@
 func (f *follower[T]) page(ctx context.Context) (objects.Page[T], error) {
 	o := f.listing.Next()
 	if f.starting && f.known != nil {
-		o.Hold = func(size int64) bool { return f.c.wantsList(ctx, size) }
+		o.AcceptSize = func(size int64) bool { return f.c.wantsList(ctx, size) }
 	}
 	return f.feed.List(ctx, o)
 }
@@ -271,7 +271,7 @@
 	f.c.mu.Lock()
 	f.c.known.failing, f.c.known.answered = time.Time{}, now
 	if last := f.c.known.confirmed[kindUpstreams]; !last.IsZero() && now.Sub(last) > outageAfter {
-		f.c.known.catalog.StoreReturned(now)
+		f.c.known.catalog.StoreRecovered(now)
 	}
 	f.c.mu.Unlock()
 	if !f.failed.IsZero() {
--- a/internal/process/carrier/follower_test.go
+++ b/internal/process/carrier/follower_test.go
@@ -94,6 +94,6 @@
 }
 
 func (f *holdingFeed) List(_ context.Context, o objects.ListOptions) (objects.Page[int], error) {
-	f.held = o.Hold != nil
+	f.held = o.AcceptSize != nil
 	return objects.Page[int]{AsOf: 9}, nil
 }
--- a/internal/process/carrier/history.go
+++ b/internal/process/carrier/history.go
@@ -32,7 +32,7 @@
 	before := c.known.catalog.AsOf
 	changed := change()
 	if now := c.known.catalog.AsOf; before != 0 && now.Epoch() != before.Epoch() {
-		older, missing := c.known.catalog.Held()
+		older, missing := c.known.catalog.HeldCounts()
 		klog.InfoS("Upstreams of a restored store", "AsOf", now, "Before", before,
 			"HeldOverOlderEntry", older, "HeldThoughMissing", missing)
 	}
@@ -42,11 +42,11 @@
 // expireList lets upstreams go that the store doesn't have any more, or has with an older content, once they were held
 // for long enough. c.mu is held.
 func (c *Carrier) expireList(now time.Time) {
-	older, missing := c.known.catalog.Held()
+	older, missing := c.known.catalog.HeldCounts()
 	if !c.known.catalog.Expire(now) {
 		return
 	}
-	if o, m := c.known.catalog.Held(); o < older {
+	if o, m := c.known.catalog.HeldCounts(); o < older {
 		klog.InfoS("Held upstreams released", "Upstreams", older-o, "MissingGone", missing-m)
 	}
 	// Entries that are gone now end no flow by themselves: they are looked at first.
--- a/internal/process/carrier/http.go
+++ b/internal/process/carrier/http.go
@@ -66,7 +66,7 @@
 	count("fescueshed_packets_send_errors_total", c.data.failed.Load)
 	count("fescueshed_store_calls_total", c.platform.Store.Counts.Calls.Load)
 	count("fescueshed_store_calls_refused_total", c.platform.Store.Counts.Refused.Load)
-	count("fescueshed_store_calls_silent_total", c.platform.Store.Counts.Silent.Load)
+	count("fescueshed_store_calls_silent_total", c.platform.Store.Counts.Unanswered.Load)
 	count("fescueshed_upstream_restarts_total", func() uint64 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -139,7 +139,7 @@
 	for name, h := range map[string]histogram{
 		"fescueshed_answer_seconds":     &c.answered,
 		"fescueshed_probe_seconds":      &c.probed,
-		"fescueshed_store_call_seconds": &c.platform.Store.Counts.Took,
+		"fescueshed_store_call_seconds": &c.platform.Store.Counts.Latency,
 	} {
 		total := uint64(0)
 		h.VisitNonZeroBuckets(func(vmrange string, count uint64) {
--- a/internal/process/carrier/news.go
+++ b/internal/process/carrier/news.go
@@ -73,7 +73,7 @@
 	n := &peer.News{
 		From:       origin,
 		Age:        now.Sub(as),
-		Doubt:      c.known.catalog.Doubt(now),
+		Doubt:      c.known.catalog.RemovalSuspicion(now),
 		BundleAsOf: c.known.bundleAsOf,
 		AsOf:       c.known.catalog.AsOf,
 		Digest:     c.known.catalog.Digest(),
@@ -104,9 +104,9 @@
 	}
 	c.seeEpoch(n.AsOf, "News", now)
 	c.origin = n.From
-	c.known.catalog.DoubtFor(n.Doubt, now)
+	c.known.catalog.SuspectRemovalsFor(n.Doubt, now)
 	var resets []cookie.Reset
-	if c.known.catalog.Hear(n.Changes, n.AsOf, n.Digest, now) {
+	if c.known.catalog.ApplyIfComplete(n.Changes, n.AsOf, n.Digest, now) {
 		resets = c.follow(now)
 	}
 	if n.Evacuated.Told() {
--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -158,7 +158,7 @@
 	changes := make([]registry.Change, 0, len(ch.List))
 	for i := range ch.List {
 		if r := registrationOf(&ch.List[i].Object); r.ID != 0 {
-			changes = append(changes, registry.Change{Registration: r, Gone: ch.List[i].Deleted})
+			changes = append(changes, registry.Change{Registration: r, Removed: ch.List[i].Deleted})
 		}
 	}
 	c.takeList(ch.AsOf, now, func() bool { return c.known.catalog.Apply(changes, ch.AsOf, now) })
--- a/internal/process/daemon/bundles.go
+++ b/internal/process/daemon/bundles.go
@@ -70,7 +70,7 @@
 // take puts a signed bundle in force if it is newer than the present one and
 // its signature holds.
 func (b *bundles) take(s *bundle.Signed, from *atomic.Uint64) error {
-	_, err := b.inForce.Take(s.Version, func() error {
+	_, err := b.inForce.ApplyIfNewer(s.Version, func() error {
 		content, err := s.Verify(b.trusted)
 		if err != nil {
 			b.refused.Add(1)
--- a/internal/process/daemon/rpc.go
+++ b/internal/process/daemon/rpc.go
@@ -38,7 +38,7 @@
 // fetchBundle asks another daemon for its bundle. What comes is trusted only by
 // its signature.
 func fetchBundle(ctx context.Context, from netip.AddrPort, counts *transfer.Counts) (*bundle.Signed, error) {
-	l := transfer.Limits{Begin: fetchWait, Stall: transfer.DefaultStall}
+	l := transfer.Limits{FirstByteTimeout: fetchWait, StallTimeout: transfer.DefaultStallTimeout}
 	raw, _, err := peer.CallRPC[json.RawMessage](ctx, from, peer.RPC{Method: methodBundle}, l, counts)
 	if err != nil {
 		return nil, err
--- a/internal/process/operator/zone.go
+++ b/internal/process/operator/zone.go
@@ -16,8 +16,8 @@
 
 // Zones evacuates zones and takes them back.
 type Zones struct {
-	Evacuated objects.Names
-	Upstreams objects.Feed[registry.Registration]
+	Evacuated objects.Markers
+	Upstreams objects.ListWatcher[registry.Registration]
 }
 
 // UnknownZoneError is returned for a zone in which no upstream is registered.
--- a/internal/standin/emulator/play.go
+++ b/internal/standin/emulator/play.go
@@ -152,7 +152,7 @@
 	for _, z := range w.zones {
 		for _, h := range z.hosts {
 			d := time.Duration(w.pattern.Delays.List)
-			w.after(d+w.jitter(d), func() { h.learn(registry.Change{Registration: r, Gone: gone}, asOf) })
+			w.after(d+w.jitter(d), func() { h.learn(registry.Change{Registration: r, Removed: gone}, asOf) })
 		}
 	}
 }
--- a/internal/standin/emulator/server.go
+++ b/internal/standin/emulator/server.go
@@ -91,7 +91,7 @@
 	return registry.Registration{
 		ID: s.id, Service: s.service.Name, Address: s.address, Zone: s.zone.Name, Slots: s.service.Slots,
 		Draining: s.draining, Warmup: max(0, s.started+s.warmup-s.w.now), Created: objects.Position(s.id), Revision: at,
-		Born: registry.UnixMilli(epoch.Add(s.born).UnixMilli()), Sequence: 1,
+		StartTime: registry.UnixMilli(epoch.Add(s.born).UnixMilli()), Sequence: 1,
 	}
 }
 
--- a/internal/standin/metadata/objects.go
+++ b/internal/standin/metadata/objects.go
@@ -19,7 +19,7 @@
 	}
 	s.Put(wire.KindServers, EntryName(r.ID), &wire.Server{
 		Service: r.Service, Address: r.Address, Zone: string(r.Zone), ConcurrencyLimit: r.Slots, State: state,
-		WarmupLeftMs: r.Warmup.Milliseconds(), Version: "v1", Sequence: r.Sequence, Born: int64(r.Born),
+		WarmupLeftMs: r.Warmup.Milliseconds(), Version: "v1", Sequence: r.Sequence, Born: int64(r.StartTime),
 	})
 }
 
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -336,7 +336,7 @@
 	s.beats++
 	w.Store.Register(&registry.Registration{
 		ID: s.ID, Service: s.Service, Address: s.at, Zone: s.Zone, Slots: s.Slots, Draining: !s.drained.IsZero(),
-		Born: registry.UnixMilli(s.born.UnixMilli()), Sequence: s.beats,
+		StartTime: registry.UnixMilli(s.born.UnixMilli()), Sequence: s.beats,
 	})
 }
 
--- a/internal/version/bundle/bundle_test.go
+++ b/internal/version/bundle/bundle_test.go
@@ -107,8 +107,8 @@
 		"operation":    {func(s *bundle.Signed) { s.OperationID = "other" }, bundle.ErrSignature},
 		"moved letter": {func(s *bundle.Signed) { s.PreparedBy, s.OperationID = "preparero", "p" }, bundle.ErrSignature},
 		"no signature": {func(s *bundle.Signed) { s.Signature = nil }, bundle.ErrSignature},
-		"approver":     {func(s *bundle.Signed) { s.ApprovedBy = "stranger" }, bundle.ErrStranger},
-		"own approval": {func(s *bundle.Signed) { s.PreparedBy = "approver" }, bundle.ErrOneSigner},
+		"approver":     {func(s *bundle.Signed) { s.ApprovedBy = "stranger" }, bundle.ErrUntrustedApprover},
+		"own approval": {func(s *bundle.Signed) { s.PreparedBy = "approver" }, bundle.ErrSelfApproved},
 		"no version":   {func(s *bundle.Signed) { s.Version = 0 }, bundle.ErrNoVersion},
 	} {
 		It("is refused if changed: "+name, func() {
--- a/internal/version/bundle/history.go
+++ b/internal/version/bundle/history.go
@@ -14,8 +14,8 @@
 // a storm of changes takes, and is told the whole bundle.
 const maxSteps = 8
 
-// Now returns the bundle in force, the zero value if there is none.
-func (h *History) Now() Accepted { return h.now }
+// Current returns the bundle in force, the zero value if there is none.
+func (h *History) Current() Accepted { return h.now }
 
 // Add puts a later bundle in force. step leads there from the one before. One that doesn't, or nil,
 // is where the history begins: a member that was told by the steps before it would lack what lies
@@ -57,7 +57,7 @@
 		return out
 	}
 	if h.whole == nil {
-		h.whole = Whole(h.now)
+		h.whole = FullUpdate(h.now)
 	}
 	return h.whole
 }
--- a/internal/version/bundle/inforce.go
+++ b/internal/version/bundle/inforce.go
@@ -17,9 +17,9 @@
 	return f.version
 }
 
-// Take calls apply if v is newer than the version in force, and puts v in force
+// ApplyIfNewer calls apply if v is newer than the version in force, and puts v in force
 // unless apply fails. Calls of apply don't overlap. It reports whether v was taken.
-func (f *InForce) Take(v Version, apply func() error) (bool, error) {
+func (f *InForce) ApplyIfNewer(v Version, apply func() error) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if v <= f.version {
--- a/internal/version/bundle/inforce_test.go
+++ b/internal/version/bundle/inforce_test.go
@@ -15,7 +15,7 @@
 		var f bundle.InForce
 		applied := []bundle.Version{}
 		take := func(v bundle.Version) bool {
-			taken, err := f.Take(v, func() error {
+			taken, err := f.ApplyIfNewer(v, func() error {
 				applied = append(applied, v)
 				return nil
 			})
@@ -32,7 +32,7 @@
 
 	It("stays at the old version if the new one can't be applied", func() {
 		var f bundle.InForce
-		taken, err := f.Take(1, func() error { return eris.New("unusable") })
+		taken, err := f.ApplyIfNewer(1, func() error { return eris.New("unusable") })
 		Expect(taken).To(BeFalse())
 		Expect(err).To(HaveOccurred())
 		Expect(f.Version()).To(BeZero())
--- a/internal/version/bundle/signed.go
+++ b/internal/version/bundle/signed.go
@@ -17,11 +17,11 @@
 
 // The reasons for which a signed bundle is refused.
 var (
-	ErrSignature  = eris.New("bundle: the signature doesn't hold")
-	ErrStranger   = eris.New("bundle: signed by an operator who isn't trusted")
-	ErrOneSigner  = eris.New("bundle: preparer and approver must differ")
-	ErrNoVersion  = eris.New("bundle: the version must be at least 1")
-	ErrNoContents = eris.New("bundle: the content is missing")
+	ErrSignature         = eris.New("bundle: the signature doesn't hold")
+	ErrUntrustedApprover = eris.New("bundle: signed by an operator who isn't trusted")
+	ErrSelfApproved      = eris.New("bundle: preparer and approver must differ")
+	ErrNoVersion         = eris.New("bundle: the version must be at least 1")
+	ErrNoContents        = eris.New("bundle: the content is missing")
 )
 
 // Signed is a bundle that was approved. It is what the platform keeps and what
@@ -58,8 +58,8 @@
 	return next
 }
 
-// Had reports whether the bundle of an operation was in force, now or before.
-func (s *Signed) Had(operationID string) bool {
+// WasInForce reports whether the bundle of an operation was in force, now or before.
+func (s *Signed) WasInForce(operationID string) bool {
 	return s.OperationID == operationID || slices.Contains(s.Earlier, operationID)
 }
 
@@ -86,7 +86,7 @@
 		}
 		return Decode("bundle", s.Content)
 	}
-	return nil, ErrStranger
+	return nil, ErrUntrustedApprover
 }
 
 func (s *Signed) check() error {
@@ -96,7 +96,7 @@
 	case len(s.Content) == 0:
 		return ErrNoContents
 	case s.PreparedBy == s.ApprovedBy:
-		return ErrOneSigner
+		return ErrSelfApproved
 	}
 	return nil
 }
--- a/internal/version/bundle/update.go
+++ b/internal/version/bundle/update.go
@@ -27,12 +27,12 @@
 	GoneRoutes   []netip.AddrPort
 }
 
-// ErrNotLedOn is returned for an update that doesn't lead on from the bundle at hand, or not to the
+// ErrUpdateMismatch is returned for an update that doesn't lead on from the bundle at hand, or not to the
 // bundle that its maker has.
-var ErrNotLedOn = eris.New("bundle: the update doesn't lead on from this bundle")
+var ErrUpdateMismatch = eris.New("bundle: the update doesn't lead on from this bundle")
 
-// Whole returns the update that holds all of a bundle.
-func Whole(a Accepted) *Update {
+// FullUpdate returns the update that holds all of a bundle.
+func FullUpdate(a Accepted) *Update {
 	return &Update{
 		To: a.Version, Digest: a.Bundle.Digest(),
 		Services: a.Bundle.Services, Routes: a.Bundle.Routes, Operators: a.Bundle.Operators,
@@ -56,7 +56,7 @@
 	b := &Bundle{Services: u.Services, Routes: u.Routes, Operators: u.Operators}
 	if u.From != 0 {
 		if u.From != at.Version {
-			return Accepted{}, eris.Wrapf(ErrNotLedOn, "from version %d, not %d", u.From, at.Version)
+			return Accepted{}, eris.Wrapf(ErrUpdateMismatch, "from version %d, not %d", u.From, at.Version)
 		}
 		b.Services = patch(at.Bundle.Services, u.Services, u.GoneServices, (*Service).key)
 		b.Routes = patch(at.Bundle.Routes, u.Routes, u.GoneRoutes, (*Route).key)
@@ -65,7 +65,7 @@
 		}
 	}
 	if b.Digest() != u.Digest {
-		return Accepted{}, eris.Wrapf(ErrNotLedOn, "not to the version %d that was told", u.To)
+		return Accepted{}, eris.Wrapf(ErrUpdateMismatch, "not to the version %d that was told", u.To)
 	}
 	return Accepted{Version: u.To, Bundle: b}, b.Check()
 }
--- a/internal/version/bundle/update_test.go
+++ b/internal/version/bundle/update_test.go
@@ -55,9 +55,9 @@
 		for _, old := range append(versions[:len(versions)-1:len(versions)-1], bundle.Accepted{}) {
 			got, err := h.Since(old.Version).Apply(old)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(got.Version).To(Equal(h.Now().Version))
-			g.Expect(got.Bundle.Routes).To(ConsistOf(h.Now().Bundle.Routes))
-			g.Expect(got.Bundle.Services).To(ConsistOf(h.Now().Bundle.Services))
+			g.Expect(got.Version).To(Equal(h.Current().Version))
+			g.Expect(got.Bundle.Routes).To(ConsistOf(h.Current().Bundle.Routes))
+			g.Expect(got.Bundle.Services).To(ConsistOf(h.Current().Bundle.Services))
 		}
 	})
 }
@@ -88,7 +88,7 @@
 	for name, step := range map[string]*bundle.Update{
 		"no step":        nil,
 		"another step":   bundle.Diff(first, third),
-		"a whole bundle": bundle.Whole(third),
+		"a whole bundle": bundle.FullUpdate(third),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -141,11 +141,11 @@
 				a := accepted(bundle.Version(i+1), r)
 				var step *bundle.Update
 				if i > 0 {
-					step = bundle.Diff(h.Now(), a)
+					step = bundle.Diff(h.Current(), a)
 				}
 				h.Add(a, step)
 			}
-			oldest := h.Now().Version
+			oldest := h.Current().Version
 			for v := oldest; v > 0; v-- {
 				if h.Since(v).From == v {
 					oldest = v
@@ -168,7 +168,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			_, err := bundle.Diff(first, second).Apply(at)
-			g.Expect(err).To(MatchError(bundle.ErrNotLedOn))
+			g.Expect(err).To(MatchError(bundle.ErrUpdateMismatch))
 		})
 	}
 }
--- a/internal/version/evacuation/evacuation.go
+++ b/internal/version/evacuation/evacuation.go
@@ -37,16 +37,16 @@
 
 // Change says that a zone is evacuated or was taken back.
 type Change struct {
-	Zone  bundle.Zone
-	Taken bool
+	Zone   bundle.Zone
+	Lifted bool
 }
 
-// After returns the zones once changes up to a revision have been made to these.
-func (z *Zones) After(changes []Change, asOf objects.Position) Zones {
+// WithChanges returns the zones once changes up to a revision have been made to these.
+func (z *Zones) WithChanges(changes []Change, asOf objects.Position) Zones {
 	list := slices.Clone(z.List)
 	for _, ch := range changes {
 		list = slices.DeleteFunc(list, func(o bundle.Zone) bool { return o == ch.Zone })
-		if !ch.Taken {
+		if !ch.Lifted {
 			list = append(list, ch.Zone)
 		}
 	}
@@ -57,8 +57,8 @@
 // that was on its way for long must not undo what a later one said.
 func (z *Zones) Supersedes(old *Zones) bool { return z.AsOf > old.AsOf }
 
-// Same reports whether both are the same zones, as of whatever revision.
-func (z *Zones) Same(o *Zones) bool { return slices.Equal(z.List, o.List) }
+// SameZones reports whether both are the same zones, as of whatever revision.
+func (z *Zones) SameZones(o *Zones) bool { return slices.Equal(z.List, o.List) }
 
 // Digest tells zones apart by their names.
 func (z *Zones) Digest() uint64 {
--- a/internal/version/evacuation/evacuation_test.go
+++ b/internal/version/evacuation/evacuation_test.go
@@ -21,7 +21,9 @@
 
 	It("follow changes in their order: one is taken back while another begins", func() {
 		z := evacuation.NewZones([]bundle.Zone{"b"}, 3)
-		z = z.After([]evacuation.Change{{Zone: "a"}, {Zone: "b", Taken: true}, {Zone: "c"}, {Zone: "c", Taken: true}, {Zone: "c"}}, 7)
+		z = z.WithChanges([]evacuation.Change{
+			{Zone: "a"}, {Zone: "b", Lifted: true}, {Zone: "c"}, {Zone: "c", Lifted: true}, {Zone: "c"},
+		}, 7)
 		Expect(z.List).To(Equal([]bundle.Zone{"a", "c"}))
 		Expect(z.AsOf).To(BeEquivalentTo(7))
 		Expect(z.Has("a")).To(BeTrue())
@@ -32,7 +34,7 @@
 		z, later := evacuation.NewZones([]bundle.Zone{"b", "a", "b"}, 3), evacuation.NewZones([]bundle.Zone{"a", "b"}, 8)
 		joined := evacuation.NewZones([]bundle.Zone{"ab"}, 3)
 		Expect(z.Digest()).To(Equal(later.Digest()))
-		Expect(z.Same(&later)).To(BeTrue())
+		Expect(z.SameZones(&later)).To(BeTrue())
 		Expect(z.Digest()).NotTo(Equal(joined.Digest()))
 	})
 
--- a/internal/version/evacuation/inforce.go
+++ b/internal/version/evacuation/inforce.go
@@ -18,8 +18,8 @@
 	held map[bundle.Zone]time.Time
 }
 
-// Take takes in the store's zones unless they are of an earlier position. It reports whether they were taken.
-func (f *InForce) Take(z Zones, now time.Time) bool {
+// Update takes in the store's zones unless they are of an earlier position. It reports whether they were taken.
+func (f *InForce) Update(z Zones, now time.Time) bool {
 	if !z.Supersedes(&f.Stored) {
 		return false
 	}
@@ -37,9 +37,9 @@
 	return true
 }
 
-// HeldBack returns the zones that the snapshot lacks, in order, and for how long they stay, for a daemon that started since
+// HeldZones returns the zones that the snapshot lacks, in order, and for how long they stay, for a daemon that started since
 // and can't know it.
-func (f *InForce) HeldBack(now time.Time) ([]bundle.Zone, time.Duration) {
+func (f *InForce) HeldZones(now time.Time) ([]bundle.Zone, time.Duration) {
 	var left time.Duration
 	zones := slices.Sorted(maps.Keys(f.held))
 	for _, until := range f.held {
@@ -48,8 +48,8 @@
 	return zones, left
 }
 
-// HoldBack takes over zones that another daemon holds back, for a time. It reports whether it knew one of them not.
-func (f *InForce) HoldBack(zones []bundle.Zone, left time.Duration, now time.Time) bool {
+// HoldZones takes over zones that another daemon holds back, for a time. It reports whether it knew one of them not.
+func (f *InForce) HoldZones(zones []bundle.Zone, left time.Duration, now time.Time) bool {
 	changed := false
 	for _, zone := range zones {
 		if _, held := f.held[zone]; held || f.Stored.Has(zone) {
--- a/internal/version/evacuation/inforce_test.go
+++ b/internal/version/evacuation/inforce_test.go
@@ -35,7 +35,7 @@
 			take := func(list []bundle.Zone, epoch objects.Epoch, revision uint64) bool {
 				p, err := objects.NewPosition(epoch, revision)
 				g.Expect(err).NotTo(HaveOccurred())
-				return f.Take(evacuation.NewZones(list, p), now)
+				return f.Update(evacuation.NewZones(list, p), now)
 			}
 			g.Expect(take(tc.known, 0, 27)).To(BeTrue())
 			g.Expect(take(tc.restored, 1, 20)).To(BeTrue())
@@ -57,14 +57,14 @@
 	var old, newcomer evacuation.InForce
 	epoch, err := objects.NewPosition(1, 20)
 	g.Expect(err).NotTo(HaveOccurred())
-	old.Take(evacuation.NewZones(zones("a", "b"), 27), now)
+	old.Update(evacuation.NewZones(zones("a", "b"), 27), now)
 	for _, f := range []*evacuation.InForce{&old, &newcomer} {
-		f.Take(evacuation.NewZones(zones("b"), epoch), now)
+		f.Update(evacuation.NewZones(zones("b"), epoch), now)
 	}
-	held, left := old.HeldBack(now.Add(time.Second))
+	held, left := old.HeldZones(now.Add(time.Second))
 	g.Expect(held).To(Equal(zones("a")))
-	g.Expect(newcomer.HoldBack(held, left, now.Add(time.Second))).To(BeTrue())
-	g.Expect(newcomer.HoldBack(held, left, now.Add(time.Second))).To(BeFalse())
+	g.Expect(newcomer.HoldZones(held, left, now.Add(time.Second))).To(BeTrue())
+	g.Expect(newcomer.HoldZones(held, left, now.Add(time.Second))).To(BeFalse())
 	g.Expect(newcomer.Zones()).To(Equal(zones("a", "b")))
 	g.Expect(newcomer.Expire(now.Add(objects.RestoreGrace))).To(BeTrue())
 	g.Expect(newcomer.Zones()).To(Equal(zones("b")))
--- a/internal/version/objects/cell.go
+++ b/internal/version/objects/cell.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Cell is one object of the system's own that daemons read, and replace under a
+// SingleObject is one object of the system's own that daemons read, and replace under a
 // condition. Implementations are safe for concurrent use.
-type Cell[T any] interface {
+type SingleObject[T any] interface {
 	// Get returns the object, or ErrNotFound if there is none. If another writer left what
 	// can't be used, the object's Err says so, and it can be replaced at its revision.
 	Get(ctx context.Context) (Object[T], error)
--- a/internal/version/objects/caller_test.go
+++ b/internal/version/objects/client_test.go
@@ -22,7 +22,7 @@
 )
 
 // dribble answers in parts and stops after some of them.
-func dribble(t *testing.T, stopAfter int) *objects.Caller {
+func dribble(t *testing.T, stopAfter int) *objects.Client {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for i := range parts {
@@ -39,7 +39,7 @@
 		srv.CloseClientConnections()
 		srv.Close()
 	})
-	c, stop := objects.NewCaller(srv.URL)
+	c, stop := objects.NewClient(srv.URL)
 	t.Cleanup(stop)
 	return c
 }
@@ -72,5 +72,5 @@
 	c := dribble(t, 0)
 	_, err := c.Do(context.Background(), objects.Call{Method: http.MethodGet, Path: "/", Timeout: beginTimeout})
 	g.Expect(err).To(MatchError(transfer.ErrStalled))
-	g.Expect(c.Counts.Silent.Load()).To(BeEquivalentTo(1))
+	g.Expect(c.Counts.Unanswered.Load()).To(BeEquivalentTo(1))
 }
--- a/internal/version/objects/feed.go
+++ b/internal/version/objects/feed.go
@@ -38,9 +38,9 @@
 	From string
 	// Stale allows an answer that is some seconds old. It costs the store little.
 	Stale bool
-	// Hold, if it isn't nil, is asked before a page is read, once its size in bytes is known. The
-	// page is given up with ErrGivenUp if it returns false.
-	Hold func(size int64) bool
+	// AcceptSize, if it isn't nil, is asked before a page is read, once its size in bytes is known. The
+	// page is given up with ErrDeclined if it returns false.
+	AcceptSize func(size int64) bool
 }
 
 // Snapshot is a whole kind as it was at one revision.
@@ -80,9 +80,9 @@
 	ErrOutdated = eris.New("objects: the answer is older than what is known")
 )
 
-// Feed reads one kind of objects. Implementations are safe for concurrent use
+// ListWatcher reads one kind of objects. Implementations are safe for concurrent use
 // and return after the wait at the latest plus the time-out of one call.
-type Feed[T any] interface {
+type ListWatcher[T any] interface {
 	// List returns a page of all objects.
 	List(ctx context.Context, o ListOptions) (Page[T], error)
 	// Watch returns what changed after a position as soon as anything did, or
--- a/internal/version/objects/listing.go
+++ b/internal/version/objects/listing.go
@@ -29,13 +29,13 @@
 	return ListOptions{From: l.next, Stale: l.stale && (l.begun || l.staleFirst)}
 }
 
-// Failed notes that the next call was made and failed. If that was the first page's, it may
+// RecordFailure notes that the next call was made and failed. If that was the first page's, it may
 // be a stale one from now on: a store that is short of calls serves these.
-func (l *Listing[T]) Failed() { l.staleFirst = true }
+func (l *Listing[T]) RecordFailure() { l.staleFirst = true }
 
-// Lacks reports whether a watch from the snapshot's revision is needed to bring what changed
+// NeedsWatch reports whether a watch from the snapshot's revision is needed to bring what changed
 // since, as some page may be old.
-func (l *Listing[T]) Lacks() bool { return l.lacks }
+func (l *Listing[T]) NeedsWatch() bool { return l.lacks }
 
 // Add takes in the next page. It returns ErrHistoryGone if the page is of another epoch than those before it:
 // together they are a list that the store never had.
--- a/internal/version/objects/listing_test.go
+++ b/internal/version/objects/listing_test.go
@@ -30,7 +30,7 @@
 	g.Expect(l.Add(page(9, "", "c"))).To(Succeed())
 	g.Expect(l.Done()).To(BeTrue())
 	g.Expect(l.Snapshot().Objects).To(HaveLen(3))
-	g.Expect(l.Lacks()).To(BeTrue(), "the second page may be old")
+	g.Expect(l.NeedsWatch()).To(BeTrue(), "the second page may be old")
 }
 
 // All hosts come back from a loss of power and callers wait. At most installations the list
@@ -42,7 +42,7 @@
 	g.Expect(l.Next().Stale).To(BeFalse())
 	g.Expect(l.Add(page(9, "", "a"))).To(Succeed())
 	g.Expect(l.Done()).To(BeTrue())
-	g.Expect(l.Lacks()).To(BeFalse())
+	g.Expect(l.NeedsWatch()).To(BeFalse())
 }
 
 // A store that is short of calls refuses fresh pages and serves stale ones. A host that
@@ -50,12 +50,12 @@
 func TestListingTakesAStaleFirstPageIfAFreshOneFailed(t *testing.T) {
 	g := NewWithT(t)
 	l := objects.NewListing[int](true)
-	l.Failed()
+	l.RecordFailure()
 	g.Expect(l.Next()).To(Equal(objects.ListOptions{Stale: true}))
 	g.Expect(l.Add(page(9, "", "a"))).To(Succeed())
-	g.Expect(l.Lacks()).To(BeTrue())
+	g.Expect(l.NeedsWatch()).To(BeTrue())
 	fresh := objects.NewListing[int](false)
-	fresh.Failed()
+	fresh.RecordFailure()
 	g.Expect(fresh.Next().Stale).To(BeFalse(), "a list that must be fresh stays so")
 }
 
--- a/internal/version/objects/stalls.go
+++ b/internal/version/objects/stalls.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Stalls decides that a kind is to be listed, since its watches aren't answered though the store is. A
+// StallDetector decides that a kind is to be listed, since its watches aren't answered though the store is. A
 // store may take longer to put many large versions together than a watch waits, and the same watch asked
 // for again takes as long: no later version would ever come. A list holds only the last. It isn't safe
 // for concurrent use; the zero value is ready.
-type Stalls struct{ inARow int }
+type StallDetector struct{ inARow int }
 
 // maxStalls is how many watches in a row may go unanswered beside other calls that are answered. One
 // does when its connection goes silent; the next has another connection.
 const maxStalls = 2
 
-// Watched notes that a watch was answered.
-func (s *Stalls) Watched() { s.inARow = 0 }
+// RecordAnswered notes that a watch was answered.
+func (s *StallDetector) RecordAnswered() { s.inARow = 0 }
 
-// Stalled notes that a watch which began at a time wasn't answered, and that the store answered another
+// RecordStalled notes that a watch which began at a time wasn't answered, and that the store answered another
 // call last at another. It reports whether the kind is to be listed. While the store answers nothing
 // it isn't: when it comes back, every daemon that asked would list what nearly all of them hold.
-func (s *Stalls) Stalled(began, answered time.Time) bool {
+func (s *StallDetector) RecordStalled(began, answered time.Time) bool {
 	if !answered.After(began) {
 		s.inARow = 0
 		return false
--- a/internal/version/objects/stalls_test.go
+++ b/internal/version/objects/stalls_test.go
@@ -27,18 +27,18 @@
 		"a kind that was listed has two watches once more": {watches: []int{beside, beside, beside}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var s objects.Stalls
+			var s objects.StallDetector
 			lists := false
 			began := time.Unix(0, 0)
 			for _, w := range tc.watches {
 				began = began.Add(time.Second)
 				switch w {
 				case watched:
-					s.Watched()
+					s.RecordAnswered()
 				case beside:
-					lists = s.Stalled(began, began.Add(time.Millisecond))
+					lists = s.RecordStalled(began, began.Add(time.Millisecond))
 				case silent:
-					lists = s.Stalled(began, began.Add(-time.Millisecond))
+					lists = s.RecordStalled(began, began.Add(-time.Millisecond))
 				}
 			}
 			NewWithT(t).Expect(lists).To(Equal(tc.lists))
--- a/internal/version/platform/client.go
+++ b/internal/version/platform/client.go
@@ -53,12 +53,12 @@
 
 // Client calls the service. It is safe for concurrent use.
 type Client struct {
-	calls *objects.Caller
+	calls *objects.Client
 }
 
 // NewClient returns a client of the service at base, and its clean-up function.
 func NewClient(base string) (*Client, func()) {
-	calls, stop := objects.NewCaller(base)
+	calls, stop := objects.NewClient(base)
 	return &Client{calls: calls}, stop
 }
 
--- a/internal/version/platform/head.go
+++ b/internal/version/platform/head.go
@@ -54,7 +54,7 @@
 		return eris.Wrapf(ErrRaced, "no bundle is in force, so the next version is 1, not %d", s.Version)
 	}
 	if head != nil {
-		if head.Had(s.OperationID) {
+		if head.WasInForce(s.OperationID) {
 			return nil
 		}
 		if head.Version+1 != s.Version {
--- a/internal/version/platform/platform_test.go
+++ b/internal/version/platform/platform_test.go
@@ -101,9 +101,9 @@
 			head = head.Successor("preparer", fmt.Sprint(i), []byte("{}"))
 		}
 		Expect(head.Version).To(BeEquivalentTo(100))
-		Expect(head.Had("99")).To(BeTrue())
-		Expect(head.Had("50")).To(BeTrue())
-		Expect(head.Had("10")).To(BeFalse())
+		Expect(head.WasInForce("99")).To(BeTrue())
+		Expect(head.WasInForce("50")).To(BeTrue())
+		Expect(head.WasInForce("10")).To(BeFalse())
 		Expect(head.Earlier).To(HaveLen(64))
 	})
 
--- a/internal/version/registry/catalog.go
+++ b/internal/version/registry/catalog.go
@@ -75,23 +75,23 @@
 	}
 }
 
-// StoreReturned tells that the store answers again after calls that failed.
+// StoreRecovered tells that the store answers again after calls that failed.
 // Upstreams couldn't renew their entries meanwhile, so the store may have dropped
 // entries of live ones: without a doubt every such upstream would lose its flows.
-func (c *Catalog) StoreReturned(now time.Time) {
-	c.DoubtFor(lapseGrace, now)
+func (c *Catalog) StoreRecovered(now time.Time) {
+	c.SuspectRemovalsFor(lapseGrace, now)
 }
 
-// DoubtFor keeps entries that vanish within a time for the rest of it. A daemon
+// SuspectRemovalsFor keeps entries that vanish within a time for the rest of it. A daemon
 // that hears the list from another takes over that one's doubt.
-func (c *Catalog) DoubtFor(d time.Duration, now time.Time) {
+func (c *Catalog) SuspectRemovalsFor(d time.Duration, now time.Time) {
 	if until := now.Add(min(d, lapseGrace)); until.After(c.doubtUntil) {
 		c.doubtUntil = until
 	}
 }
 
-// Doubt returns for how long entries that vanish are still kept.
-func (c *Catalog) Doubt(now time.Time) time.Duration {
+// RemovalSuspicion returns for how long entries that vanish are still kept.
+func (c *Catalog) RemovalSuspicion(now time.Time) time.Duration {
 	return max(0, c.doubtUntil.Sub(now))
 }
 
@@ -116,7 +116,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
 		if !listed[id] {
-			changes = append(changes, Change{Registration: c.entries[id], Gone: true})
+			changes = append(changes, Change{Registration: c.entries[id], Removed: true})
 		}
 	}
 	return changes
@@ -142,7 +142,7 @@
 	return changed
 }
 
-// Hear takes in the latest of the changes that lead to asOf, if with them the list is the one
+// ApplyIfComplete takes in the latest of the changes that lead to asOf, if with them the list is the one
 // whose digest is given. Otherwise some of the earlier changes are missing, and all are to be
 // asked for from where the catalog is. It reports whether anything changed.
 //
@@ -150,7 +150,7 @@
 // hundreds of upstreams are replaced, each answer to «what came after revision 100» would lead to
 // another digest than its sender's, and the whole list be asked for: 300 hosts with 3,000
 // upstreams sent 300 KB/s each.
-func (c *Catalog) Hear(changes []Change, asOf objects.Position, digest uint64, now time.Time) bool {
+func (c *Catalog) ApplyIfComplete(changes []Change, asOf objects.Position, digest uint64, now time.Time) bool {
 	if asOf < c.AsOf || c.AsOf == 0 || asOf.Epoch() != c.AsOf.Epoch() {
 		return false
 	}
@@ -169,18 +169,18 @@
 	latest := make(map[bundle.UpstreamID]*Change, len(changes))
 	for i := range changes {
 		ch := &changes[i]
-		if l := latest[ch.ID]; l == nil || ch.Gone || l.Gone || ch.supersedes(&l.Registration) {
+		if l := latest[ch.ID]; l == nil || ch.Removed || l.Removed || ch.supersedes(&l.Registration) {
 			latest[ch.ID] = ch
 		}
 	}
 	for id, ch := range latest {
 		old, known := c.entries[id]
-		if known && (ch.Gone || ch.supersedes(&old)) {
+		if known && (ch.Removed || ch.supersedes(&old)) {
 			sum -= old.digest()
 		} else if known {
 			continue
 		}
-		if !ch.Gone {
+		if !ch.Removed {
 			sum += ch.digest()
 		}
 	}
@@ -193,7 +193,7 @@
 func (c *Catalog) withoutFormer(changes []Change) []Change {
 	out := make([]Change, 0, len(changes))
 	for i := range changes {
-		if ch := &changes[i]; !ch.Gone || ch.Revision >= c.entries[ch.ID].Revision {
+		if ch := &changes[i]; !ch.Removed || ch.Revision >= c.entries[ch.ID].Revision {
 			out = append(out, *ch)
 		}
 	}
@@ -215,17 +215,17 @@
 func (c *Catalog) doubtMass(changes []Change, now time.Time) {
 	gone := 0
 	for i := range changes {
-		if e, ok := c.entries[changes[i].ID]; ok && changes[i].Gone && !e.Draining && !e.Unusable {
+		if e, ok := c.entries[changes[i].ID]; ok && changes[i].Removed && !e.Draining && !e.Unusable {
 			gone++
 		}
 	}
 	if gone >= massLeast && float64(gone) >= massShare*float64(c.ready) {
-		c.StoreReturned(now)
+		c.StoreRecovered(now)
 	}
 }
 
 func (c *Catalog) apply(ch Change, asOf objects.Position, now time.Time) bool {
-	if !ch.Gone {
+	if !ch.Removed {
 		return c.put(ch.Registration, asOf, now)
 	}
 	old, known := c.entries[ch.ID]
@@ -236,7 +236,7 @@
 	delete(c.entries, ch.ID)
 	delete(c.older, ch.ID)
 	c.changed[ch.ID] = struct{}{}
-	c.note(Change{Registration: old, Gone: true}, asOf, now)
+	c.note(Change{Registration: old, Removed: true}, asOf, now)
 	if !old.Draining && !old.Unusable && now.Before(c.doubtUntil) || c.restoring {
 		c.vanished[ch.ID] = kept{Registration: old, until: c.doubtUntil}
 	}
@@ -250,7 +250,7 @@
 		// What vanished is still the last that was known of it.
 		old = c.vanished[r.ID].Registration
 	}
-	if r.Unusable && !r.Known() {
+	if r.Unusable && !r.HasContent() {
 		r = unusable(r, old)
 	}
 	if _, kept := c.vanished[r.ID]; kept {
@@ -275,7 +275,7 @@
 // before. If the entry doesn't tell its revision, it counts as of the one before.
 func unusable(r, old Registration) Registration {
 	revision := max(r.Revision, old.Revision)
-	if old.Known() {
+	if old.HasContent() {
 		r = old
 	}
 	r.Revision, r.Unusable = revision, true
@@ -299,9 +299,9 @@
 	c.log = append(c.log, logged{at: now, asOf: asOf, change: ch})
 }
 
-// Held returns how many upstreams are used otherwise than the store says: by what was known before it was restored from a
+// HeldCounts returns how many upstreams are used otherwise than the store says: by what was known before it was restored from a
 // snapshot, in place of an older entry, or though it lacks them.
-func (c *Catalog) Held() (older, missing int) { return len(c.older), len(c.vanished) }
+func (c *Catalog) HeldCounts() (older, missing int) { return len(c.older), len(c.vanished) }
 
 // Expire removes vanished entries whose time is over, and goes by the store again for those that it had an older
 // entry of. It reports whether there were any.
@@ -345,13 +345,13 @@
 	return out, true
 }
 
-// Remembered returns the entries that can't be used, with what was known of them before. A
+// LastKnown returns the entries that can't be used, with what was known of them before. A
 // daemon that started since reads in the store that they can't be used, and can't know where
 // the open flows of their upstreams go.
-func (c *Catalog) Remembered() []Change {
+func (c *Catalog) LastKnown() []Change {
 	var out []Change
 	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
-		if r := c.entries[id]; r.Unusable && r.Known() {
+		if r := c.entries[id]; r.Unusable && r.HasContent() {
 			out = append(out, Change{Registration: r})
 		}
 	}
@@ -390,7 +390,7 @@
 		} else if k, ok := c.vanished[id]; ok {
 			out = append(out, Change{Registration: k.Registration})
 		} else {
-			out = append(out, Change{Registration: Registration{ID: id}, Gone: true})
+			out = append(out, Change{Registration: Registration{ID: id}, Removed: true})
 		}
 	}
 	// A new map: the old one may have room for the whole list, and clearing goes through it.
--- a/internal/version/registry/catalog_test.go
+++ b/internal/version/registry/catalog_test.go
@@ -42,13 +42,13 @@
 	It("never goes back to an older list", func() {
 		c := filled(3)
 		Expect(c.Replace(entries(2), 99, start)).To(BeFalse())
-		Expect(c.Apply([]registry.Change{{Registration: entry(1), Gone: true}}, 99, start)).To(BeFalse())
+		Expect(c.Apply([]registry.Change{{Registration: entry(1), Removed: true}}, 99, start)).To(BeFalse())
 		Expect(c.InUse()).To(HaveLen(3))
 	})
 
 	It("believes at once that a single upstream went", func() {
 		c := filled(8)
-		Expect(c.Apply([]registry.Change{{Registration: entry(1), Gone: true}}, 101, start)).To(BeTrue())
+		Expect(c.Apply([]registry.Change{{Registration: entry(1), Removed: true}}, 101, start)).To(BeTrue())
 		Expect(c.InUse()).To(HaveLen(7))
 	})
 
@@ -57,7 +57,7 @@
 	// entries are there again.
 	It("keeps entries that lapsed while the store was away until they are back", func() {
 		c := filled(8)
-		c.StoreReturned(start)
+		c.StoreRecovered(start)
 		c.Replace(entries(5), 110, start)
 		Expect(c.InUse()).To(HaveLen(8))
 		Expect(c.Len()).To(Equal(5))
@@ -71,7 +71,7 @@
 		list := entries(8)
 		list[0].Draining = true
 		c.Replace(list, 100, start)
-		c.StoreReturned(start)
+		c.StoreRecovered(start)
 		c.Replace(list[1:], 110, start)
 		Expect(c.InUse()).To(HaveLen(7))
 	})
@@ -90,7 +90,7 @@
 		changed := entry(3)
 		changed.Draining, changed.Revision = true, 101
 		now := start.Add(time.Second)
-		c.Apply([]registry.Change{{Registration: changed}, {Registration: entry(4), Gone: true}}, 102, now)
+		c.Apply([]registry.Change{{Registration: changed}, {Registration: entry(4), Removed: true}}, 102, now)
 		Expect(member.Digest()).NotTo(Equal(c.Digest()))
 		member.Apply(c.Recent(now.Add(-500*time.Millisecond), 10), c.AsOf, now)
 		Expect(member.Digest()).To(Equal(c.Digest()))
@@ -107,7 +107,7 @@
 			r.Revision = objects.Position(101 + n)
 			c.Apply([]registry.Change{{Registration: r}}, objects.Position(101+n), start)
 		}
-		c.Apply([]registry.Change{{Registration: entry(4), Gone: true}}, 130, start)
+		c.Apply([]registry.Change{{Registration: entry(4), Removed: true}}, 130, start)
 		changes, ok := c.Since(member.AsOf)
 		Expect(ok).To(BeTrue())
 		Expect(changes).To(HaveLen(21))
@@ -127,13 +127,13 @@
 			c.Apply([]registry.Change{{Registration: r}}, objects.Position(101+n), start)
 		}
 		before := member.Digest()
-		Expect(member.Hear(c.Recent(start.Add(-time.Second), 2), c.AsOf, c.Digest(), start)).To(BeFalse())
+		Expect(member.ApplyIfComplete(c.Recent(start.Add(-time.Second), 2), c.AsOf, c.Digest(), start)).To(BeFalse())
 		Expect(member.AsOf).To(Equal(objects.Position(100)))
 		Expect(member.Digest()).To(Equal(before), "nobody has a list with some of the changes")
 		changes, _ := c.Since(member.AsOf)
 		member.Apply(changes, c.AsOf, start)
 		Expect(member.Digest()).To(Equal(c.Digest()))
-		Expect(member.Hear(nil, 104, c.Digest(), start)).To(BeFalse())
+		Expect(member.ApplyIfComplete(nil, 104, c.Digest(), start)).To(BeFalse())
 		Expect(member.AsOf).To(Equal(objects.Position(104)))
 	})
 
@@ -152,19 +152,19 @@
 		}
 		change(reader, 1, 8)
 		change(teller, 1, 4)
-		member.Hear(reader.Recent(start.Add(-time.Second), 2), reader.AsOf, reader.Digest(), start)
+		member.ApplyIfComplete(reader.Recent(start.Add(-time.Second), 2), reader.AsOf, reader.Digest(), start)
 		changes, ok := teller.Since(member.AsOf)
 		Expect(ok).To(BeTrue())
 		member.Apply(changes, teller.AsOf, start)
 		Expect(member.Digest()).To(Equal(teller.Digest()))
 		changes, _ = reader.Since(member.AsOf)
-		Expect(member.Hear(changes, reader.AsOf, reader.Digest(), start)).To(BeTrue())
+		Expect(member.ApplyIfComplete(changes, reader.AsOf, reader.Digest(), start)).To(BeTrue())
 		Expect(member.Digest()).To(Equal(reader.Digest()))
 	})
 
 	It("has the same digest as one that doubts", func() {
 		c, doubting := filled(8), filled(8)
-		doubting.StoreReturned(start)
+		doubting.StoreRecovered(start)
 		c.Replace(entries(7), 110, start)
 		doubting.Replace(entries(7), 110, start)
 		Expect(doubting.InUse()).To(HaveLen(8))
@@ -196,16 +196,16 @@
 					r := entry(rapid.IntRange(1, 12).Draw(t, "upstream"))
 					r.Revision = asOf
 					r.Draining = rapid.Bool().Draw(t, "draining")
-					c.Apply([]registry.Change{{Registration: r, Gone: rapid.Bool().Draw(t, "gone")}}, asOf, now)
+					c.Apply([]registry.Change{{Registration: r, Removed: rapid.Bool().Draw(t, "gone")}}, asOf, now)
 				},
-				"outage": func(*rapid.T) { c.StoreReturned(now) },
+				"outage": func(*rapid.T) { c.StoreRecovered(now) },
 				"time": func(t *rapid.T) {
 					now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 					c.Expire(now)
 				},
 				"": func(t *rapid.T) {
 					for _, ch := range c.TakeChanges() {
-						if ch.Gone {
+						if ch.Removed {
 							delete(mirror, ch.ID)
 						} else {
 							mirror[ch.ID] = ch.Registration
@@ -291,7 +291,7 @@
 		late := registry.NewCatalog()
 		late.Replace([]registry.Registration{entry(1), bad(2, 101).Registration, entry(3)}, 101, start)
 		Expect(late.Digest()).To(Equal(c.Digest()))
-		late.Apply(c.Remembered(), 101, start)
+		late.Apply(c.LastKnown(), 101, start)
 		Expect(late.Digest()).To(Equal(c.Digest()))
 		Expect(inUse(late, 2).Address).To(Equal(entry(2).Address))
 	})
@@ -303,20 +303,20 @@
 		c := filled(12)
 		c.Apply(overwritten(6), 110, start)
 		c.Replace(entries(12)[:9], 120, start)
-		Expect(c.Doubt(start)).NotTo(BeZero())
+		Expect(c.RemovalSuspicion(start)).NotTo(BeZero())
 
 		c = filled(12)
 		c.Apply(overwritten(6), 110, start)
 		c.Replace(entries(12)[6:], 120, start)
-		Expect(c.Doubt(start)).To(BeZero(), "the tool removed its entries again")
+		Expect(c.RemovalSuspicion(start)).To(BeZero(), "the tool removed its entries again")
 	})
 
 	// An entry lapsed while the store was away. What comes back under its name is another
 	// writer's; the upstream's flows are still open.
 	It("is known by what vanished before", func() {
 		c := filled(8)
-		c.StoreReturned(start)
-		c.Apply([]registry.Change{{Registration: entry(2), Gone: true}, bad(2, 103)}, 103, start)
+		c.StoreRecovered(start)
+		c.Apply([]registry.Change{{Registration: entry(2), Removed: true}, bad(2, 103)}, 103, start)
 		Expect(inUse(c, 2).Address).To(Equal(entry(2).Address))
 		Expect(inUse(c, 2).Unusable).To(BeTrue())
 	})
@@ -324,7 +324,7 @@
 	It("isn't kept if it vanishes while the list is doubted", func() {
 		c := filled(8)
 		c.Apply([]registry.Change{bad(2, 101)}, 101, start)
-		c.StoreReturned(start)
+		c.StoreRecovered(start)
 		c.Replace(entries(1), 110, start)
 		Expect(inUse(c, 2)).To(BeZero())
 		Expect(inUse(c, 3)).NotTo(BeZero())
@@ -338,20 +338,20 @@
 	It("isn't dropped for the end of its former incarnation", func() {
 		c := filled(3)
 		again := entry(2)
-		again.Revision, again.Born = 105, 1_764_720_000_000
-		c.Apply([]registry.Change{{Registration: entry(2), Gone: true}, {Registration: again}}, 105, start)
-		Expect(c.Hear([]registry.Change{{Registration: entry(2), Gone: true}}, 106, 0, start)).To(BeFalse())
+		again.Revision, again.StartTime = 105, 1_764_720_000_000
+		c.Apply([]registry.Change{{Registration: entry(2), Removed: true}, {Registration: again}}, 105, start)
+		Expect(c.ApplyIfComplete([]registry.Change{{Registration: entry(2), Removed: true}}, 106, 0, start)).To(BeFalse())
 		Expect(c.List()).To(ContainElement(again))
 	})
 
-	later := func(r *registry.Registration) { r.Born++ }
-	earlier := func(r *registry.Registration) { r.Born-- }
+	later := func(r *registry.Registration) { r.StartTime++ }
+	earlier := func(r *registry.Registration) { r.StartTime-- }
 	sequenceFalls := func(r *registry.Registration) { r.Sequence = 1 }
-	noStart := func(r *registry.Registration) { r.Born, r.Sequence = 0, 1 }
-	warms := func(r *registry.Registration) { r.Born, r.Warmup = 0, time.Second }
+	noStart := func(r *registry.Registration) { r.StartTime, r.Sequence = 0, 1 }
+	warms := func(r *registry.Registration) { r.StartTime, r.Warmup = 0, time.Second }
 	moves := func(r *registry.Registration) { r.Service = "sheets" }
 	drains := func(r *registry.Registration) { r.Draining = true }
-	unreadable := func(r *registry.Registration) { r.Born, r.Unusable = r.Born+1, true }
+	unreadable := func(r *registry.Registration) { r.StartTime, r.Unusable = r.StartTime+1, true }
 	for name, c := range map[string]struct {
 		change func(r *registry.Registration)
 		want   registry.Restart
@@ -367,7 +367,7 @@
 	} {
 		It("shows it "+name, func() {
 			before := entry(1)
-			before.Born, before.Sequence = 1_764_720_000_000, 40
+			before.StartTime, before.Sequence = 1_764_720_000_000, 40
 			after := before
 			after.Sequence++
 			c.change(&after)
--- a/internal/version/registry/history_test.go
+++ b/internal/version/registry/history_test.go
@@ -163,7 +163,7 @@
 		return
 	}
 	changes, ok := from.Since(to.AsOf)
-	if ok && to.Hear(changes, from.AsOf, from.Digest(), w.now) {
+	if ok && to.ApplyIfComplete(changes, from.AsOf, from.Digest(), w.now) {
 		return
 	}
 	w.deliver(to, told{list: from.List(), listed: true, asOf: from.AsOf})
--- a/internal/version/registry/registration.go
+++ b/internal/version/registry/registration.go
@@ -38,8 +38,8 @@
 	Warmup time.Duration
 	// Created and Revision order entries: see objects.Object.
 	Created, Revision objects.Position
-	// Born is when the upstream started, zero if it doesn't tell.
-	Born UnixMilli
+	// StartTime is when the upstream started, zero if it doesn't tell.
+	StartTime UnixMilli
 	// Sequence counts the upstream's heartbeats from its start.
 	Sequence uint64
 	// Unusable says that the store's entry can't be read or isn't an upstream's, as after
@@ -56,7 +56,7 @@
 	switch {
 	case r.ID == 0:
 		return eris.Wrap(ErrRegistration, "identifier is zero")
-	case r.Unusable && !r.Known():
+	case r.Unusable && !r.HasContent():
 		return nil
 	case r.Zone == "":
 		return eris.Wrap(ErrRegistration, "zone is missing")
@@ -68,8 +68,8 @@
 		return eris.Wrapf(ErrRegistration, "slots are %d, want at least 1", r.Slots)
 	case r.Warmup < 0 || r.Warmup > maxWarmup:
 		return eris.Wrapf(ErrRegistration, "warm-up is %v, want at most %v", r.Warmup, maxWarmup)
-	case r.Born < 0:
-		return eris.Wrapf(ErrRegistration, "start is %d", r.Born)
+	case r.StartTime < 0:
+		return eris.Wrapf(ErrRegistration, "start is %d", r.StartTime)
 	}
 	return nil
 }
@@ -78,8 +78,8 @@
 // entry that claims days is a mistake of its writer.
 const maxWarmup = time.Hour
 
-// Known reports whether there is a content, be it that of before.
-func (r *Registration) Known() bool { return r.Address.IsValid() }
+// HasContent reports whether there is a content, be it that of before.
+func (r *Registration) HasContent() bool { return r.Address.IsValid() }
 
 // SameContent reports whether both say the same, as of whatever position.
 func (r *Registration) SameContent(o *Registration) bool {
@@ -105,15 +105,15 @@
 // Restarted reports what an entry shows beside the one that was known before.
 func (r *Registration) Restarted(before *Registration) Restart {
 	switch {
-	case !r.Known() || !before.Known() || r.Unusable:
+	case !r.HasContent() || !before.HasContent() || r.Unusable:
 		return RestartNone
 	case r.Service != before.Service:
 		return RestartCertain
-	case r.Born > before.Born && before.Born != 0:
+	case r.StartTime > before.StartTime && before.StartTime != 0:
 		return RestartCertain
-	case r.Born != 0 && r.Born == before.Born:
+	case r.StartTime != 0 && r.StartTime == before.StartTime:
 		return RestartNone
-	case r.Born < before.Born && r.Born != 0:
+	case r.StartTime < before.StartTime && r.StartTime != 0:
 		// Its clock was set back between the two, or an earlier incarnation's write came late.
 		return RestartLikely
 	case r.Sequence < before.Sequence, r.Warmup > before.Warmup:
@@ -132,17 +132,17 @@
 	case r.Unusable != old.Unusable:
 		return r.Unusable
 	}
-	return r.Unusable && r.Known() && !old.Known()
+	return r.Unusable && r.HasContent() && !old.HasContent()
 }
 
 // precedes reports whether an entry of a snapshot is of an earlier time than what is known of the same
 // upstream: of a former incarnation, or of an earlier heartbeat.
 func (r *Registration) precedes(known *Registration) bool {
 	switch {
-	case !r.Known() || !known.Known() || r.Unusable || known.Unusable:
+	case !r.HasContent() || !known.HasContent() || r.Unusable || known.Unusable:
 		return false
-	case r.Born != known.Born && r.Born != 0 && known.Born != 0:
-		return r.Born < known.Born
+	case r.StartTime != known.StartTime && r.StartTime != 0 && known.StartTime != 0:
+		return r.StartTime < known.StartTime
 	case r.Service != known.Service:
 		return false
 	}
@@ -164,5 +164,5 @@
 type Change struct {
 	_ struct{} `cbor:",toarray"`
 	Registration
-	Gone bool
+	Removed bool
 }
--- a/internal/version/registry/restored.go
+++ b/internal/version/registry/restored.go
@@ -14,7 +14,7 @@
 // the snapshot lacks is kept as one whose entry lapsed while the store was away. It reports whether anything changed.
 func (c *Catalog) restore(list []Registration, asOf objects.Position, now time.Time) bool {
 	c.restoredUntil = now.Add(objects.RestoreGrace)
-	c.StoreReturned(now)
+	c.StoreRecovered(now)
 	list, older := c.withLater(list)
 	c.restoring = true
 	changed := c.advance(c.leadingTo(list), asOf, now)
@@ -60,9 +60,9 @@
 	out := make(map[bundle.UpstreamID]Registration)
 	for i := range c.log {
 		switch ch := &c.log[i].change; {
-		case ch.Gone && ch.Draining:
+		case ch.Removed && ch.Draining:
 			out[ch.ID] = ch.Registration
-		case !ch.Gone:
+		case !ch.Removed:
 			delete(out, ch.ID)
 		}
 	}
@@ -85,9 +85,9 @@
 	return true
 }
 
-// HeldBack returns the upstreams that are used by what was known of them in place of an older entry of the restored
+// HeldEntries returns the upstreams that are used by what was known of them in place of an older entry of the restored
 // store, and for how long, for a daemon that started since and can't know it.
-func (c *Catalog) HeldBack(now time.Time) ([]Registration, time.Duration) {
+func (c *Catalog) HeldEntries(now time.Time) ([]Registration, time.Duration) {
 	left := c.restoredUntil.Sub(now)
 	if left <= 0 {
 		return nil, 0
@@ -99,8 +99,8 @@
 	return out, left
 }
 
-// HoldBack takes over what another daemon holds back of the same list, for a time. It reports whether anything changed.
-func (c *Catalog) HoldBack(list []Registration, left time.Duration, now time.Time) bool {
+// HoldEntries takes over what another daemon holds back of the same list, for a time. It reports whether anything changed.
+func (c *Catalog) HoldEntries(list []Registration, left time.Duration, now time.Time) bool {
 	changed := false
 	for _, later := range list {
 		changed = c.holdBack(later) || changed
--- a/internal/version/registry/restored_test.go
+++ b/internal/version/registry/restored_test.go
@@ -59,11 +59,11 @@
 	c.Replace([]registry.Registration{beat(1, at(0, 20), 5, false)}, at(0, 27), now)
 	drains := []registry.Change{{Registration: beat(1, at(1, 28), 6, true)}}
 	g.Expect(c.Apply(drains, at(1, 28), now)).To(BeFalse())
-	g.Expect(c.Hear(drains, at(1, 28), 0, now)).To(BeFalse())
+	g.Expect(c.ApplyIfComplete(drains, at(1, 28), 0, now)).To(BeFalse())
 	g.Expect(c.AsOf).To(Equal(at(0, 27)))
 	empty := registry.NewCatalog()
 	empty.Replace(nil, at(0, 27), now)
-	g.Expect(empty.Hear(nil, at(1, 28), empty.Digest(), now)).To(BeFalse())
+	g.Expect(empty.ApplyIfComplete(nil, at(1, 28), empty.Digest(), now)).To(BeFalse())
 	g.Expect(empty.AsOf).To(Equal(at(0, 27)), "both lists are empty, and still of two histories")
 
 	c.Replace([]registry.Registration{beat(1, at(1, 20), 5, false)}, at(1, 24), now)
@@ -79,7 +79,7 @@
 	const known, restored = 27, 20
 	ready, drains := beat(1, at(0, 19), 5, false), beat(1, at(0, 26), 7, true)
 	born := func(r registry.Registration, at registry.UnixMilli) registry.Registration {
-		r.Born = at
+		r.StartTime = at
 		return r
 	}
 	for name, tc := range map[string]struct {
@@ -121,7 +121,7 @@
 		},
 		"an upstream that had left and is gone again": {
 			before: [][]registry.Registration{{ready}, {drains}, {}}, restored: []registry.Registration{beat(1, at(1, 19), 5, false)},
-			later: []registry.Change{{Registration: beat(1, at(1, 21), 5, false), Gone: true}},
+			later: []registry.Change{{Registration: beat(1, at(1, 21), 5, false), Removed: true}},
 			held:  useDraining, written: useNone, believed: useNone,
 		},
 		"an upstream that started again": {
@@ -204,17 +204,17 @@
 	g.Expect(usedAs(newcomer)).To(Equal(useReady))
 
 	now = now.Add(time.Second)
-	held, left := old.HeldBack(now)
+	held, left := old.HeldEntries(now)
 	g.Expect(left).To(Equal(objects.RestoreGrace - time.Second))
-	g.Expect(newcomer.HoldBack(held, left, now)).To(BeTrue())
-	g.Expect(newcomer.HoldBack(held, left, now)).To(BeFalse(), "it knows")
+	g.Expect(newcomer.HoldEntries(held, left, now)).To(BeTrue())
+	g.Expect(newcomer.HoldEntries(held, left, now)).To(BeFalse(), "it knows")
 	g.Expect(usedAs(newcomer)).To(Equal(useDraining))
 	g.Expect(newcomer.List()).To(Equal(snapshot), "what it tells is the store's word")
 	g.Expect(newcomer.Digest()).To(Equal(old.Digest()))
 
 	newcomer.Expire(now.Add(left + time.Millisecond))
 	g.Expect(usedAs(newcomer)).To(Equal(useReady))
-	_, left = old.HeldBack(now.Add(objects.RestoreGrace))
+	_, left = old.HeldEntries(now.Add(objects.RestoreGrace))
 	g.Expect(left).To(BeZero())
 }
 
@@ -224,7 +224,7 @@
 	now := time.Unix(0, 0)
 	c := registry.NewCatalog()
 	c.Replace([]registry.Registration{beat(1, at(1, 23), 9, false)}, at(1, 23), now)
-	g.Expect(c.HoldBack([]registry.Registration{beat(1, at(1, 19), 7, true)}, time.Second, now)).To(BeFalse())
+	g.Expect(c.HoldEntries([]registry.Registration{beat(1, at(1, 19), 7, true)}, time.Second, now)).To(BeFalse())
 	g.Expect(usedAs(c)).To(Equal(useReady))
 }
 
@@ -242,9 +242,9 @@
 	c.Replace(list[1:], at(1, 20), now)
 	g.Expect(c.InUse()).To(HaveLen(3), "one is missing")
 
-	c.Apply([]registry.Change{{Registration: list[2], Gone: true}}, at(1, 21), now.Add(time.Millisecond))
+	c.Apply([]registry.Change{{Registration: list[2], Removed: true}}, at(1, 21), now.Add(time.Millisecond))
 	g.Expect(c.InUse()).To(HaveLen(2), "one drained and left")
-	c.Apply([]registry.Change{{Registration: list[1], Gone: true}}, at(1, 22), now.Add(time.Second))
+	c.Apply([]registry.Change{{Registration: list[1], Removed: true}}, at(1, 22), now.Add(time.Second))
 	c.Expire(now.Add(bound))
 	g.Expect(c.InUse()).To(BeEmpty())
 }
--- a/internal/version/transfer/transfer.go
+++ b/internal/version/transfer/transfer.go
@@ -12,23 +12,23 @@
 
 // Limits bound one transfer. The zero value is no bound.
 type Limits struct {
-	// Begin is how long the answer may take to begin, zero if only the caller's context bounds the
+	// FirstByteTimeout is how long the answer may take to begin, zero if only the caller's context bounds the
 	// transfer.
-	Begin time.Duration
-	// Stall is how long nothing of it may arrive once it has begun.
-	Stall time.Duration
-	// Longest is how long the rest of it may take, DefaultLongest if it is zero.
-	Longest time.Duration
+	FirstByteTimeout time.Duration
+	// StallTimeout is how long nothing of it may arrive once it has begun.
+	StallTimeout time.Duration
+	// MaxDuration is how long the rest of it may take, DefaultLongest if it is zero.
+	MaxDuration time.Duration
 }
 
 const (
-	// DefaultStall is three retransmissions on a link that loses packets. A connection that went
+	// DefaultStallTimeout is three retransmissions on a link that loses packets. A connection that went
 	// silent in the middle of an answer costs this long.
-	DefaultStall = 700 * time.Millisecond
-	// DefaultLongest ends a transfer that comes in drops, which would else hold up all later ones. It
+	DefaultStallTimeout = 700 * time.Millisecond
+	// DefaultMaxDuration ends a transfer that comes in drops, which would else hold up all later ones. It
 	// is what four megabytes, the largest answer, take on a third of the users' thinnest link, 10
 	// Mbit/s.
-	DefaultLongest = 10 * time.Second
+	DefaultMaxDuration = 10 * time.Second
 )
 
 // ErrStalled is the cause of the end of a transfer that didn't begin, stopped or took longer than
@@ -54,9 +54,9 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	t := &Transfer{counts: c, limits: l, ctx: ctx, cancel: cancel}
 	giveUp := func() { cancel(ErrStalled) }
-	if l.Begin > 0 {
-		t.stall = time.AfterFunc(l.Begin, giveUp)
-		t.end = time.AfterFunc(l.Begin+cmp.Or(l.Longest, DefaultLongest), giveUp)
+	if l.FirstByteTimeout > 0 {
+		t.stall = time.AfterFunc(l.FirstByteTimeout, giveUp)
+		t.end = time.AfterFunc(l.FirstByteTimeout+cmp.Or(l.MaxDuration, DefaultMaxDuration), giveUp)
 	}
 	return ctx, t
 }
@@ -89,8 +89,8 @@
 func (t *Transfer) arrived(n int) {
 	t.read.Add(uint64(n))
 	t.counts.Bytes.Add(uint64(n))
-	if n > 0 && t.stall != nil && t.limits.Stall > 0 {
-		t.stall.Reset(t.limits.Stall)
+	if n > 0 && t.stall != nil && t.limits.StallTimeout > 0 {
+		t.stall.Reset(t.limits.StallTimeout)
 	}
 }
 
--- a/internal/version/transfer/transfer_test.go
+++ b/internal/version/transfer/transfer_test.go
@@ -43,10 +43,15 @@
 		limits transfer.Limits
 		left   int
 	}{
-		"one that doesn't begin": {limits: transfer.Limits{Begin: 50 * time.Millisecond, Stall: time.Hour, Longest: time.Hour}},
-		"one that stops":         {limits: transfer.Limits{Begin: time.Hour, Stall: time.Second, Longest: time.Hour}, left: 3},
+		"one that doesn't begin": {
+			limits: transfer.Limits{FirstByteTimeout: 50 * time.Millisecond, StallTimeout: time.Hour, MaxDuration: time.Hour},
+		},
+		"one that stops": {
+			limits: transfer.Limits{FirstByteTimeout: time.Hour, StallTimeout: time.Second, MaxDuration: time.Hour},
+			left:   3,
+		},
 		"one that comes in drops": {
-			limits: transfer.Limits{Begin: time.Second, Stall: time.Hour, Longest: 100 * time.Millisecond},
+			limits: transfer.Limits{FirstByteTimeout: time.Second, StallTimeout: time.Hour, MaxDuration: 100 * time.Millisecond},
 			left:   math.MaxInt,
 		},
 	} {
@@ -71,7 +76,7 @@
 	g := NewWithT(t)
 	var counts transfer.Counts
 	parent, cancel := context.WithCancel(t.Context())
-	ctx, tr := counts.Begin(parent, transfer.Limits{Begin: time.Hour, Stall: time.Hour})
+	ctx, tr := counts.Begin(parent, transfer.Limits{FirstByteTimeout: time.Hour, StallTimeout: time.Hour})
 	cancel()
 	_, err := io.Copy(io.Discard, tr.Reader(&drops{ctx: ctx}))
 	g.Expect(tr.End(err)).To(MatchError(context.Canceled))
