--- a/internal/connection/caller/bench_test.go
+++ b/internal/connection/caller/bench_test.go
@@ -167,7 +167,7 @@
 			}
 			v := peer.NewView(members[0].ID, members, peer.Changes{})
 			for i := 0; b.Loop(); i++ {
-				v.Home(peer.FlowHash(i * benchStep))
+				v.Owner(peer.FlowHash(i * benchStep))
 			}
 		})
 	}
--- a/internal/connection/caller/cluster_test.go
+++ b/internal/connection/caller/cluster_test.go
@@ -141,11 +141,11 @@
 }
 
 func (c *cluster) changes(recent bool) peer.Changes {
-	ch := peer.Changes{Recent: recent, Unsettled: recent, Lost: slices.Clone(c.lost)}
+	ch := peer.Changes{RecentlyChanged: recent, RepeatsPossible: recent, Lost: slices.Clone(c.lost)}
 	for _, n := range c.nodes {
 		n.fresh = n.fresh && recent
 		if n.fresh {
-			ch.Fresh = append(ch.Fresh, n.member.ID)
+			ch.RecentlyJoined = append(ch.RecentlyJoined, n.member.ID)
 		}
 	}
 	return ch
@@ -308,7 +308,7 @@
 func (c *cluster) homeOf(r request) *node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
-	return c.nodeAt(c.nodes[0].engine.View().Home(k.Hash()).Data.Addr())
+	return c.nodeAt(c.nodes[0].engine.View().Owner(k.Hash()).Data.Addr())
 }
 
 // flowsAt returns how many flows of a service all nodes count together.
--- a/internal/connection/caller/cut_test.go
+++ b/internal/connection/caller/cut_test.go
@@ -31,7 +31,7 @@
 			cutZones = []bundle.Zone{"b", "c"}
 		}
 		n.engine.SetView(peer.NewView(n.member.ID, members, peer.Changes{
-			Recent: true, Unsettled: true, Lost: away, CutZones: cutZones, Unreachable: away,
+			RecentlyChanged: true, RepeatsPossible: true, Lost: away, UnreachableZones: cutZones, UnreachableMembers: away,
 		}))
 	}
 }
@@ -190,7 +190,7 @@
 // sideHome returns the node that decides for a flow on the side without zone a.
 func (c *cluster) sideHome(r request) *node {
 	k := keyOf(r.flow)
-	return c.nodeAt(c.side("b")[0].engine.View().Home(k.Hash()).Data.Addr())
+	return c.nodeAt(c.side("b")[0].engine.View().Owner(k.Hash()).Data.Addr())
 }
 
 // leaveCopy gives a node the copy of a proposal that was made in doubt.
--- a/internal/connection/caller/engine.go
+++ b/internal/connection/caller/engine.go
@@ -72,7 +72,7 @@
 
 	Flows    *Table
 	Requests *Requests
-	Board    *upstream.Board
+	Board    *upstream.LoadTable
 	Counters Counters
 }
 
@@ -109,7 +109,7 @@
 		lease:    o.Lease,
 		Flows:    NewTable(),
 		Requests: NewRequests(),
-		Board:    upstream.NewBoard(),
+		Board:    upstream.NewLoadTable(),
 	}
 	if e.policy == nil {
 		e.policy = upstream.LeastLoaded{}
@@ -276,7 +276,7 @@
 // route takes a packet to its home. A daemon that holds a firm record acts as
 // home even if the view says otherwise: a flow's upstream never changes.
 func (e *Engine) route(w *packetWork) Cause {
-	home := w.view.Home(w.hash)
+	home := w.view.Owner(w.hash)
 	if home == nil || home.ID == e.self || e.hasFirm(w) {
 		return e.home(w)
 	}
--- a/internal/connection/caller/flow_test.go
+++ b/internal/connection/caller/flow_test.go
@@ -228,7 +228,7 @@
 				}
 			}
 			late := c.other(home)
-			late.engine.SetView(peer.NewView(late.member.ID, members, peer.Changes{Recent: true}))
+			late.engine.SetView(peer.NewView(late.member.ID, members, peer.Changes{RecentlyChanged: true}))
 			first := c.repeat(late, r)
 			Expect(first).To(HaveLen(1))
 			r.id, r.token = 2, 2
--- a/internal/connection/caller/holder.go
+++ b/internal/connection/caller/holder.go
@@ -25,7 +25,8 @@
 		offer(hop, &r)
 		hop.Placed = 0
 	}
-	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumHolders > 0 && !w.answer && w.view.Keeps(w.hash, peer.ID(hop.Home)) {
+	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumHolders > 0 && !w.answer &&
+		w.view.IsReplica(w.hash, peer.ID(hop.Home)) {
 		e.copyProposal(w)
 	}
 	return e.passToHolder(w)
--- a/internal/connection/caller/home.go
+++ b/internal/connection/caller/home.go
@@ -79,7 +79,7 @@
 	if w.p.IP.Protocol == ip.ProtocolTCP && !w.opensTCP() {
 		return false
 	}
-	beyond := w.view.BeyondCut(w.hash)
+	beyond := w.view.OwnerMayBeUnreachable(w.hash)
 	if beyond && hold(w, r) {
 		return true
 	}
@@ -95,7 +95,7 @@
 	e.uncount(r)
 	*r = Record{Upstream: id, State: StateTentative, Placed: unixSeconds(w.now), Told: w.seconds, Flags: RecordLocal}
 	e.holds(r)
-	if beyond || w.view.MayBeLost(w.hash) {
+	if beyond || w.view.RecordMayBeLost(w.hash) {
 		r.Flags = RecordUnsure
 	}
 	e.Counters.Placed.Add(1)
@@ -140,7 +140,7 @@
 func (e *Engine) choose(w *packetWork, not bundle.UpstreamID) *bundle.UpstreamRoute {
 	candidates := make([]upstream.Candidate, 0, len(w.service.Upstreams))
 	for _, u := range w.service.Upstreams {
-		if u.ID == not || !w.view.Reaches(u.Zone) {
+		if u.ID == not || !w.view.CanReach(u.Zone) {
 			continue
 		}
 		candidates = append(candidates, upstream.Candidate{Route: u, Load: e.Board.Load(u.ID)})
@@ -160,19 +160,19 @@
 	if r.Upstream != 0 {
 		h.Hop.Flags |= geneve.FlagPlace
 	}
-	if r.Flags&RecordUnsure != 0 || w.view.MayBeLost(w.hash) || w.view.BeyondCut(w.hash) {
+	if r.Flags&RecordUnsure != 0 || w.view.RecordMayBeLost(w.hash) || w.view.OwnerMayBeUnreachable(w.hash) {
 		h.Hop.Flags |= geneve.FlagUnsure
 	}
 	if e.fenced(r) && r.State == StateFirm {
 		h.Hop.Found = r.Upstream
 	}
-	if w.view.Recent || !h.Hop.Has(geneve.FlagPlace) || e.fenced(r) {
-		w.view.AddHolders(w.hash, &h.Hop)
+	if w.view.RecentlyChanged || !h.Hop.Has(geneve.FlagPlace) || e.fenced(r) {
+		w.view.AddPossibleReplicas(w.hash, &h.Hop)
 	} else {
 		w.view.AddReplicas(w.hash, &h.Hop)
 	}
 	if h.Hop.Has(geneve.FlagUnsure) {
-		w.view.AddAll(w.hash, &h.Hop)
+		w.view.AddAllMembers(w.hash, &h.Hop)
 	}
 	w.p.Header.Hop = h.Hop
 	e.Counters.Asked.Add(1)
--- a/internal/connection/caller/placer.go
+++ b/internal/connection/caller/placer.go
@@ -102,7 +102,7 @@
 // Heard takes in what another member told of its flows under a version.
 func (e *Engine) Heard(from upstream.MemberID, v bundle.Version, counts []uint32) {
 	if t := e.routing.Load(); t != nil && t.Version == v {
-		e.Board.Heard(from, t.UpstreamIDs(), counts)
+		e.Board.UpdateReported(from, t.UpstreamIDs(), counts)
 	}
 }
 
--- a/internal/connection/caller/requests.go
+++ b/internal/connection/caller/requests.go
@@ -109,7 +109,7 @@
 	placed := rec.Upstream != 0
 	if u := w.routing.Upstream(rec.Upstream); u != nil {
 		limit = int64(u.Slots)
-		reachable = w.view.Reaches(u.Zone)
+		reachable = w.view.CanReach(u.Zone)
 	}
 	cause := CauseNone
 	k := requestKey{flow: w.key, token: m.Token}
@@ -156,7 +156,7 @@
 // through another home, and "not run" would not be true of the next one.
 func (e *Engine) isFirstCopy(w *packetWork) bool {
 	pausedUntil := Seconds(e.fence.Load()) + Seconds(MaxTransmitSpan/time.Second)
-	return !w.view.Unsettled && (e.fence.Load() == 0 || w.seconds > pausedUntil)
+	return !w.view.RepeatsPossible && (e.fence.Load() == 0 || w.seconds > pausedUntil)
 }
 
 // mayRunElsewhere reports whether the caller may have sent this request before,
@@ -165,7 +165,7 @@
 	if rec.Flags&RecordUnsure == 0 {
 		return false
 	}
-	if w.view.BeyondCut(w.hash) {
+	if w.view.OwnerMayBeUnreachable(w.hash) {
 		return true
 	}
 	return time.Duration(unixSeconds(w.now)-rec.Placed)*time.Second < MaxTransmitSpan
@@ -199,7 +199,7 @@
 		if !found {
 			// A home that took the flow over doesn't know the requests from before;
 			// the upstream that holds the flow is then all there is to check.
-			if rec.Flags&RecordLocal != 0 && !w.view.Recent {
+			if rec.Flags&RecordLocal != 0 && !w.view.RecentlyChanged {
 				cause = CauseTokenNotOpen
 			}
 			return false
@@ -243,7 +243,7 @@
 	defer s.mu.Unlock()
 	view := e.view.Load()
 	for k, r := range s.m {
-		home := view.Home(k.flow.Hash())
+		home := view.Owner(k.flow.Hash())
 		switch {
 		case home != nil && home.ID != e.self:
 			// Another daemon is home now and lets the answer through.
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -93,7 +93,7 @@
 func (s *sweep) place(k *Key, r *Record) bool {
 	u := s.routing.Upstream(r.Upstream)
 	h := k.Hash()
-	home := s.view.Home(h)
+	home := s.view.Owner(h)
 	if u == nil || home == nil {
 		return true
 	}
@@ -101,7 +101,7 @@
 		s.atHome(k, r, u, h)
 		return true
 	}
-	keeps := s.view.Keeps(h, home.ID)
+	keeps := s.view.IsReplica(h, home.ID)
 	unconfirmed := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !keeps)
 	if home.Tag() != r.Other || unconfirmed {
 		s.tell(k, r, home.Data, geneve.FlagConfirm)
@@ -109,7 +109,7 @@
 	}
 	// A former holder's record isn't renewed. Kept, it could one day speak for a
 	// flow that was placed again meanwhile.
-	return s.view.Recent || keeps
+	return s.view.RecentlyChanged || keeps
 }
 
 // atHome tells the backup and the other zones what they lack since members
@@ -146,7 +146,7 @@
 func (s *sweep) propose(k *Key, r *Record) {
 	h := k.Hash()
 	self := s.view.Member(s.view.Self)
-	home := s.view.Home(h)
+	home := s.view.Owner(h)
 	for _, m := range []*peer.Member{home, s.view.Replica(h, self.Zone, home.ID)} {
 		if m == nil || m.ID == s.view.Self || s.budget <= 0 {
 			continue
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -58,7 +58,7 @@
 	evacuated  map[bundle.Zone]time.Time
 	candidates []upstream.Candidate
 	requests   map[string]*Requests
-	Board      *upstream.Board
+	Board      *upstream.LoadTable
 	Counters   Counters
 }
 
@@ -91,7 +91,7 @@
 		zones:     make(map[zoneService]zoneLoad),
 		reaches:   make(map[bundle.Zone]*reach),
 		requests:  make(map[string]*Requests),
-		Board:     upstream.NewBoard(),
+		Board:     upstream.NewLoadTable(),
 	}
 }
 
--- a/internal/connection/cookie/open.go
+++ b/internal/connection/cookie/open.go
@@ -100,12 +100,12 @@
 				continue
 			}
 			e.candidates = append(e.candidates, upstream.Candidate{
-				Route: u.Route,
-				Load:  u.load,
-				Cold:  now.Before(u.coldUntil),
-				Busy:  busy,
+				Route:           u.Route,
+				Load:            u.load,
+				Cold:            now.Before(u.coldUntil),
+				RequestsPerFlow: busy,
 
-				ZoneFlows: e.zoneFlows(u, now),
+				ZoneFlowsPerSlot: e.zoneFlows(u, now),
 			})
 		}
 		if chosen := e.opts.Policy.Choose(e.candidates, seed); chosen != nil {
--- a/internal/connection/cookie/report.go
+++ b/internal/connection/cookie/report.go
@@ -41,8 +41,8 @@
 	e.SetZones(r.Zones, now)
 	e.Sample(r.Services)
 	ejected := e.Judge(r.Loads, r.Services, now)
-	e.Board.Keep(nil)
-	e.Board.Heard(zoneMember, ids, flows)
+	e.Board.RetainMembers(nil)
+	e.Board.UpdateReported(zoneMember, ids, flows)
 	for _, id := range r.Dead {
 		e.Hint(id, now)
 	}
--- a/internal/connection/cookie/restart_test.go
+++ b/internal/connection/cookie/restart_test.go
@@ -193,7 +193,7 @@
 		load := func() int64 { return e.Board.Load(list[0].ID).Total() }
 		Expect(load()).To(BeNumerically(">", 5))
 		others := []bundle.UpstreamID{list[0].ID}
-		e.Board.Heard(1, others, []uint32{7})
+		e.Board.UpdateReported(1, others, []uint32{7})
 		now := start.Add(time.Second)
 		update(e, again(list[0]), now)
 		Expect(load()).To(BeZero(), "neither by what other balancers told of the former one")
--- a/internal/connection/cookie/warmup_test.go
+++ b/internal/connection/cookie/warmup_test.go
@@ -28,7 +28,7 @@
 		GinkgoHelper()
 		list[0].Warmup = slowFor
 		e := cookie.NewEngine(cookie.Options{
-			Zone: ownZone, Policy: upstream.NewZoned(ownZone, upstream.DefaultChoices), FlowLifetime: time.Minute, Warmer: w,
+			Zone: ownZone, Policy: upstream.NewZoneAware(ownZone, upstream.DefaultChoices), FlowLifetime: time.Minute, Warmer: w,
 		})
 		b := content()
 		for i := range b.Services {
--- a/internal/connection/cookie/watch.go
+++ b/internal/connection/cookie/watch.go
@@ -162,11 +162,11 @@
 }
 
 // Gone returns the upstreams that left the list and were found dead.
-func (e *Engine) Gone() []peer.GoneUpstream {
-	var out []peer.GoneUpstream
+func (e *Engine) Gone() []peer.DeregisteredUpstream {
+	var out []peer.DeregisteredUpstream
 	for id, u := range e.upstreams {
 		if !u.listed && u.health == HealthDead {
-			out = append(out, peer.GoneUpstream{ID: id, Address: u.Route.Address})
+			out = append(out, peer.DeregisteredUpstream{ID: id, Address: u.Route.Address})
 		}
 	}
 	return out
@@ -174,7 +174,7 @@
 
 // LearnGone takes in upstreams that another balancer found dead after they left the
 // list. As with a Hint, this one looks for itself as soon as a packet names one.
-func (e *Engine) LearnGone(list []peer.GoneUpstream, now time.Time) {
+func (e *Engine) LearnGone(list []peer.DeregisteredUpstream, now time.Time) {
 	for _, g := range list {
 		if e.upstreams[g.ID] == nil && g.Address.IsValid() {
 			e.unlisted(g.ID, g.Address, now).health = HealthSuspect
--- a/internal/connection/cookie/world_test.go
+++ b/internal/connection/cookie/world_test.go
@@ -102,7 +102,7 @@
 func newEngineOf(b *bundle.Bundle, list []registry.Registration) *cookie.Engine {
 	e := cookie.NewEngine(cookie.Options{
 		Zone:         ownZone,
-		Policy:       upstream.NewZoned(ownZone, upstream.DefaultChoices),
+		Policy:       upstream.NewZoneAware(ownZone, upstream.DefaultChoices),
 		FlowLifetime: time.Minute,
 	})
 	e.SetRouting(bundle.NewRouting(1, b, nil), start)
--- a/internal/connection/peer/bench_test.go
+++ b/internal/connection/peer/bench_test.go
@@ -33,7 +33,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				m := peer.NewMembership(peer.Config{}, all[0], rand.New(rand.NewPCG(1, 1)))
-				m.Learn(time.Unix(1_000_000, 0), all)
+				m.Merge(time.Unix(1_000_000, 0), all)
 				if v := m.View(); len(v.Members) != n {
 					b.Fatal(len(v.Members))
 				}
@@ -50,7 +50,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			told := &peer.Catalog{Known: true, Listed: true}
+			told := &peer.Catalog{Complete: true, HasRegistrations: true}
 			for i := range n {
 				told.Registrations = append(told.Registrations, registry.Registration{
 					ID: bundle.UpstreamID(1 + i*7919), Service: "huvo11a", Zone: "col-hall-a", Slots: 2, Born: 1765000000000,
--- a/internal/connection/peer/codec.go
+++ b/internal/connection/peer/codec.go
@@ -15,11 +15,11 @@
 // The protocols between daemons.
 const (
 	DomainMembership Domain = "fescueshed membership 1\n"
-	// DomainNumberedMembership is that of membership messages with numbers.
-	DomainNumberedMembership Domain = "fescueshed membership 2\n"
-	DomainNews               Domain = "fescueshed news 5\n"
-	DomainReport             Domain = "fescueshed report 3\n"
-	DomainCatalog            Domain = "fescueshed catalog 5\n"
+	// DomainSequencedMembership is that of membership messages with numbers.
+	DomainSequencedMembership Domain = "fescueshed membership 2\n"
+	DomainAdvertisement       Domain = "fescueshed news 5\n"
+	DomainReport              Domain = "fescueshed report 3\n"
+	DomainCatalog             Domain = "fescueshed catalog 5\n"
 )
 
 // checked is a pointer to a wire type that checks itself when decoded.
--- a/internal/connection/peer/contacts.go
+++ b/internal/connection/peer/contacts.go
@@ -86,10 +86,10 @@
 	return slices.ContainsFunc(c.Members, func(m Contact) bool { return m.Control == at })
 }
 
-// Outdated reports whether contacts are to be replaced: none of a zone's largest members is
+// ContactsOutdated reports whether contacts are to be replaced: none of a zone's largest members is
 // among them. Any member would do to be found by, but after a loss of all power it is the largest
 // who can tell the others soonest.
-func (v *View) Outdated(c *Contacts) bool {
+func (v *View) ContactsOutdated(c *Contacts) bool {
 	largest := make(map[bundle.Zone]uint32)
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -105,11 +105,11 @@
 	return len(found) < len(largest)
 }
 
-// Larger returns the control addresses of those in a zone that Tells holds for.
-func (c *Contacts) Larger(zone bundle.Zone, self uint32) []netip.AddrPort {
+// LargerInZone returns the control addresses of those in a zone that Tells holds for.
+func (c *Contacts) LargerInZone(zone bundle.Zone, self uint32) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, m := range c.Members {
-		if m.Zone == zone && Tells(m.Size, self) {
+		if m.Zone == zone && IsLargerSource(m.Size, self) {
 			out = append(out, m.Control)
 		}
 	}
--- a/internal/connection/peer/contacts_test.go
+++ b/internal/connection/peer/contacts_test.go
@@ -29,9 +29,9 @@
 		c := v.Contacts(&peer.Contacts{})
 		Expect(c.Members).To(HaveLen(9))
 		Expect(c.Check()).To(Succeed())
-		Expect(v.Outdated(&c)).To(BeFalse())
-		Expect(v.Outdated(&peer.Contacts{})).To(BeTrue())
-		Expect(view(100, 30).Outdated(&c)).To(BeTrue(), "all hosts were replaced")
+		Expect(v.ContactsOutdated(&c)).To(BeFalse())
+		Expect(v.ContactsOutdated(&peer.Contacts{})).To(BeTrue())
+		Expect(view(100, 30).ContactsOutdated(&c)).To(BeTrue(), "all hosts were replaced")
 	})
 
 	// A zone that is cut off from the others still reaches the store and replaces the
@@ -56,11 +56,11 @@
 			Control: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, 1}), 6082),
 		})
 		grown := peer.NewView(members[0].ID, members, peer.Changes{})
-		Expect(grown.Outdated(&c)).To(BeTrue())
+		Expect(grown.ContactsOutdated(&c)).To(BeTrue())
 		next := grown.Contacts(&c)
-		Expect(grown.Outdated(&next)).To(BeFalse())
-		Expect(next.Larger("a", 100)).To(Equal([]netip.AddrPort{netip.MustParseAddrPort("10.0.1.1:6082")}))
-		Expect(next.Larger("b", 100)).To(BeEmpty())
+		Expect(grown.ContactsOutdated(&next)).To(BeFalse())
+		Expect(next.LargerInZone("a", 100)).To(Equal([]netip.AddrPort{netip.MustParseAddrPort("10.0.1.1:6082")}))
+		Expect(next.LargerInZone("b", 100)).To(BeEmpty())
 	})
 
 	It("stay within their bound, the newest first", func() {
@@ -68,7 +68,7 @@
 		for i := range 30 {
 			c = view(7*i, 9).Contacts(&c)
 			Expect(c.Check()).To(Succeed())
-			Expect(view(7*i, 9).Outdated(&c)).To(BeFalse())
+			Expect(view(7*i, 9).ContactsOutdated(&c)).To(BeFalse())
 		}
 		Expect(c.Members).To(HaveLen(peer.MaxContacts))
 	})
--- a/internal/connection/peer/evacuated_test.go
+++ b/internal/connection/peer/evacuated_test.go
@@ -22,18 +22,18 @@
 
 var _ = Describe("Evacuated zones in news", func() {
 	It("are told whole if they are few, and by their digest if they aren't", func() {
-		few := evacuatedZones(peer.MaxNewsZones)
-		n := peer.Evacuated(&few)
-		Expect(n.Told()).To(BeTrue())
-		many := evacuatedZones(peer.MaxNewsZones + 1)
-		n = peer.Evacuated(&many)
-		Expect(n.Told()).To(BeFalse())
-		Expect(n.Lacks(&few)).To(BeTrue())
-		Expect(n.Lacks(&many)).To(BeFalse())
+		few := evacuatedZones(peer.MaxAdvertisedZones)
+		n := peer.NewAdvertisedZones(&few)
+		Expect(n.Complete()).To(BeTrue())
+		many := evacuatedZones(peer.MaxAdvertisedZones + 1)
+		n = peer.NewAdvertisedZones(&many)
+		Expect(n.Complete()).To(BeFalse())
+		Expect(n.MissingFrom(&few)).To(BeTrue())
+		Expect(n.MissingFrom(&many)).To(BeFalse())
 	})
 
 	It("are refused where they can't be used", func() {
-		n := peer.News{From: 1, Evacuated: peer.EvacuatedNews{Zones: evacuation.Zones{List: []bundle.Zone{"b", "a"}}}}
+		n := peer.Advertisement{From: 1, Evacuated: peer.AdvertisedZones{Zones: evacuation.Zones{List: []bundle.Zone{"b", "a"}}}}
 		Expect(n.Check()).To(MatchError(evacuation.ErrZones))
 		c := peer.Catalog{Evacuated: evacuation.Zones{List: []bundle.Zone{""}}}
 		Expect(c.Check()).To(MatchError(evacuation.ErrZones))
--- a/internal/connection/peer/fanout.go
+++ b/internal/connection/peer/fanout.go
@@ -26,10 +26,10 @@
 	fanOut = 8
 )
 
-// Audience returns whom this daemon tells news, in either tree. origin says that it
+// Recipients returns whom this daemon tells news, in either tree. origin says that it
 // read them itself or has them from another zone; otherwise it passes on what a member
 // of its zone told.
-func (v *View) Audience(origin bool) []*Member {
+func (v *View) Recipients(origin bool) []*Member {
 	out := v.Children(TreeForward, origin)
 	for _, m := range v.Children(TreeBackward, origin) {
 		if !slices.Contains(out, m) {
@@ -83,7 +83,7 @@
 
 // Reporters returns the members whose reports this daemon takes up: those of which it is
 // the parent.
-func (v *View) Reporters() []*Member { return v.Children(TreeForward, v.ZoneReader()) }
+func (v *View) Reporters() []*Member { return v.Children(TreeForward, v.IsZoneReader()) }
 
 // placeIn turns a place in the order of readers into one in a tree, or back. The first
 // is the root of both.
--- a/internal/connection/peer/fanout_test.go
+++ b/internal/connection/peer/fanout_test.go
@@ -37,7 +37,7 @@
 	for wave := []*peer.View{views[origin]}; len(wave) > 0; steps++ {
 		var next []*peer.View
 		for _, v := range wave {
-			to := v.Audience(steps == 0)
+			to := v.Recipients(steps == 0)
 			most = max(most, len(to))
 			for _, m := range to {
 				if !heard[m.ID] && !dead[m.ID] {
@@ -82,7 +82,7 @@
 		for _, n := range sizes {
 			for _, v := range zoneOf(n) {
 				for _, origin := range []bool{false, true} {
-					to := v.Audience(origin)
+					to := v.Recipients(origin)
 					Expect(slices.ContainsFunc(to, func(m *peer.Member) bool { return m.ID == v.Self || m.Zone != "a" })).To(BeFalse())
 					if n <= 32 && !origin {
 						Expect(to).To(BeEmpty())
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -167,15 +167,15 @@
 	return out
 }
 
-// Leave marks the daemon as leaving and tells everyone at once.
-func (m *Membership) Leave(now time.Time) []Envelope {
+// AnnounceLeaving marks the daemon as leaving and tells everyone at once.
+func (m *Membership) AnnounceLeaving(now time.Time) []Envelope {
 	m.self.State = StateLeaving
 	m.self.Incarnation++
 	return m.announce(now)
 }
 
-// Left tells everyone that the daemon has handed over all it had.
-func (m *Membership) Left(now time.Time) []Envelope {
+// AnnounceLeft tells everyone that the daemon has handed over all it had.
+func (m *Membership) AnnounceLeft(now time.Time) []Envelope {
 	m.self.State = StateLeft
 	m.self.Incarnation++
 	return m.announce(now)
@@ -290,10 +290,10 @@
 	return !known.present() || known.Boot != says.Boot
 }
 
-// Learn takes in members that another daemon knows. Those that are new here aren't passed on:
+// Merge takes in members that another daemon knows. Those that are new here aren't passed on:
 // who told them has done so, and a daemon that joins a fleet of 195 would else repeat all of
 // them to each of its first hundred partners.
-func (m *Membership) Learn(now time.Time, members []Member) {
+func (m *Membership) Merge(now time.Time, members []Member) {
 	added := false
 	for i := range members {
 		u := &members[i]
@@ -312,16 +312,16 @@
 	}
 }
 
-// MetServing reports whether a member that has a bundle in force was heard.
-func (m *Membership) MetServing() bool { return m.serving }
+// ServingMemberSeen reports whether a member that has a bundle in force was heard.
+func (m *Membership) ServingMemberSeen() bool { return m.serving }
 
-// Greet pings a daemon that may not be a member yet, so that it knows of this one.
-func (m *Membership) Greet(at netip.AddrPort) []Envelope { return []Envelope{m.ping(at)} }
+// PingAddress pings a daemon that may not be a member yet, so that it knows of this one.
+func (m *Membership) PingAddress(at netip.AddrPort) []Envelope { return []Envelope{m.ping(at)} }
 
-// Introductions returns the members that a newcomer of a zone is told of first: those who read
+// BootstrapMembers returns the members that a newcomer of a zone is told of first: those who read
 // the store before others in its zone, and the first of the whole system. By them it finds who
 // can tell it the rest.
-func (m *Membership) Introductions(zone bundle.Zone, newcomer ID) []Member {
+func (m *Membership) BootstrapMembers(zone bundle.Zone, newcomer ID) []Member {
 	var own []*Member
 	var first *Member
 	for _, o := range m.present() {
@@ -364,8 +364,8 @@
 	introduceFor = 3 * time.Second
 )
 
-// Known returns all members that are there, this daemon first.
-func (m *Membership) Known() []Member {
+// Members returns all members that are there, this daemon first.
+func (m *Membership) Members() []Member {
 	list := m.present()
 	out := make([]Member, 0, len(list))
 	for _, o := range list {
@@ -396,7 +396,7 @@
 func (m *Membership) answer(to netip.AddrPort, ping *Message, now time.Time) Envelope {
 	var known []Member
 	if r := m.peers[ping.From.ID]; r != nil && now.Sub(r.joined) < introduceFor {
-		known = m.Introductions(r.Zone, r.ID)
+		known = m.BootstrapMembers(r.Zone, r.ID)
 		known = known[:min(len(known), m.cfg.Updates)]
 	}
 	return m.envelopeWith(to, KindAck, ping.Seq, known)
--- a/internal/connection/peer/membership_test.go
+++ b/internal/connection/peer/membership_test.go
@@ -68,7 +68,7 @@
 		w := links.New(9, 8)
 		w.Until(10*time.Second, w.Agreed)
 		m := w.Members[3]
-		w.Send(m, m.Leave(w.Now))
+		w.Send(m, m.AnnounceLeaving(w.Now))
 		w.Run(5 * time.Second) // Until nobody passes it on any more.
 		m.Clock = -time.Hour
 		w.Boot(m)
@@ -86,14 +86,14 @@
 		w.Run(10 * time.Second)
 		for _, m := range w.Members {
 			Expect(m.View().Members).To(HaveLen(3))
-			Expect(m.View().CutZones).To(HaveLen(2))
+			Expect(m.View().UnreachableZones).To(HaveLen(2))
 		}
 		w.Cut = nil
 		Expect(w.Until(20*time.Second, w.Agreed)).To(BeNumerically("<", 20*time.Second))
 		w.Run(time.Second)
 		for _, m := range w.Members {
 			Expect(m.View().Lost).To(BeEmpty(), "nobody restarted, so nothing was lost")
-			Expect(m.View().CutZones).To(BeEmpty())
+			Expect(m.View().UnreachableZones).To(BeEmpty())
 		}
 	})
 
@@ -101,12 +101,12 @@
 		w := links.New(9, 6)
 		w.Until(10*time.Second, w.Agreed)
 		m := w.Members[3]
-		w.Send(m, m.Leave(w.Now))
+		w.Send(m, m.AnnounceLeaving(w.Now))
 		w.Run(time.Second)
 		for _, o := range w.Members {
 			Expect(o.View().Member(m.Host.ID).State).To(Equal(peer.StateLeaving))
 		}
-		w.Send(m, m.Left(w.Now))
+		w.Send(m, m.AnnounceLeft(w.Now))
 		w.Run(100 * time.Millisecond)
 		m.Up = false
 		w.Run(5 * time.Second)
--- a/internal/connection/peer/news.go
+++ b/internal/connection/peer/news.go
@@ -10,18 +10,18 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// News is what a daemon that knows the store's content tells others. It
+// Advertisement is what a daemon that knows the store's content tells others. It
 // carries the latest changes, so that a member that heard the one before needs
 // nothing else.
-type News struct {
+type Advertisement struct {
 	_ struct{} `cbor:",toarray"`
 	// From is the daemon that read the store, or that told its zone what it heard from
 	// another. Members of a large zone pass its news on.
 	From ID
 	// Age is how long ago the store last confirmed all of this.
 	Age time.Duration
-	// Doubt is for how long the sender keeps upstreams that vanish from the store.
-	Doubt time.Duration
+	// SuspicionPeriod is for how long the sender keeps upstreams that vanish from the store.
+	SuspicionPeriod time.Duration
 	// AsOf and Digest identify the sender's registrations, see registry.Catalog.
 	AsOf   objects.Position
 	Digest uint64
@@ -30,42 +30,42 @@
 	Bundle     bundle.Version
 	BundleAsOf objects.Position
 	Changes    []registry.Change
-	Evacuated  EvacuatedNews
+	Evacuated  AdvertisedZones
 }
 
-// EvacuatedNews are the evacuated zones as news tell them: whole if they are few, else by their
+// AdvertisedZones are the evacuated zones as news tell them: whole if they are few, else by their
 // digest.
-type EvacuatedNews struct {
+type AdvertisedZones struct {
 	_      struct{} `cbor:",toarray"`
 	Zones  evacuation.Zones
 	Digest uint64
 }
 
-// Evacuated returns what news tell of evacuated zones.
-func Evacuated(z *evacuation.Zones) EvacuatedNews {
-	out := EvacuatedNews{Zones: evacuation.Zones{AsOf: z.AsOf}, Digest: z.Digest()}
-	if len(z.List) <= MaxNewsZones {
+// NewAdvertisedZones returns what news tell of evacuated zones.
+func NewAdvertisedZones(z *evacuation.Zones) AdvertisedZones {
+	out := AdvertisedZones{Zones: evacuation.Zones{AsOf: z.AsOf}, Digest: z.Digest()}
+	if len(z.List) <= MaxAdvertisedZones {
 		out.Zones.List = z.List
 	}
 	return out
 }
 
-// Told reports whether the news hold the zones whole.
-func (e *EvacuatedNews) Told() bool { return e.Zones.Digest() == e.Digest }
+// Complete reports whether the news hold the zones whole.
+func (e *AdvertisedZones) Complete() bool { return e.Zones.Digest() == e.Digest }
 
-// Lacks reports whether a daemon that knows z lacks what the news announce.
-func (e *EvacuatedNews) Lacks(z *evacuation.Zones) bool {
+// MissingFrom reports whether a daemon that knows z lacks what the news announce.
+func (e *AdvertisedZones) MissingFrom(z *evacuation.Zones) bool {
 	return e.Zones.AsOf >= z.AsOf && e.Digest != z.Digest()
 }
 
 // Limits of a News and a Report, so that each fits one datagram.
 const (
-	// MaxNewsChanges bounds Changes: one takes up to 75 bytes. A member that misses
+	// MaxAdvertisedChanges bounds Changes: one takes up to 75 bytes. A member that misses
 	// more fetches them.
-	MaxNewsChanges = 14
-	// MaxNewsZones bounds the evacuated zones beside them: one takes about 12 bytes. A member that misses
+	MaxAdvertisedChanges = 14
+	// MaxAdvertisedZones bounds the evacuated zones beside them: one takes about 12 bytes. A member that misses
 	// more fetches them.
-	MaxNewsZones = 12
+	MaxAdvertisedZones = 12
 	// MaxLoads bounds Loads: one takes about 11 bytes.
 	MaxLoads = 64
 	// MaxDead bounds Dead.
@@ -78,8 +78,8 @@
 )
 
 // Check implements the check of a wire type.
-func (n *News) Check() error {
-	if n.From == 0 || n.Age < 0 || n.Doubt < 0 || len(n.Changes) > MaxNewsChanges {
+func (n *Advertisement) Check() error {
+	if n.From == 0 || n.Age < 0 || n.SuspicionPeriod < 0 || len(n.Changes) > MaxAdvertisedChanges {
 		return ErrMessage
 	}
 	if err := n.Evacuated.Zones.Check(); err != nil {
@@ -116,11 +116,11 @@
 	Slots   uint32
 }
 
-// Lacks reports what a daemon lacks of what the news announce. Only news that lack
+// MissingFrom reports what a daemon lacks of what the news announce. Only news that lack
 // nothing count as heard: a member that can't fetch the rest from the sender must
 // read the store itself, however fresh the news are, or it would keep an old bundle
 // for as long as they come.
-func (n *News) Lacks(version bundle.Version, asOf objects.Position, digest uint64) (bundle, list bool) {
+func (n *Advertisement) MissingFrom(version bundle.Version, asOf objects.Position, digest uint64) (bundle, list bool) {
 	return n.Bundle > version, n.AsOf >= asOf && n.Digest != digest
 }
 
@@ -141,20 +141,20 @@
 type Report struct {
 	_    struct{} `cbor:",toarray"`
 	From ID
-	// Sum says that Loads are the sums over the zone.
-	Sum   bool
+	// IsSum says that Loads are the sums over the zone.
+	IsSum bool
 	Loads []Load
 	// Dead are upstreams that the sender found dead.
 	Dead []bundle.UpstreamID
-	// Found says that Dead were found just now and that the rest isn't filled in.
-	Found bool
+	// DeadOnly says that Dead were found just now and that the rest isn't filled in.
+	DeadOnly bool
 	// Services are counted like Loads.
 	Services []ServiceLoad
 	// Zones are the loads of whole zones: of the sender's own if it reads the store
 	// for its zone and tells that of another, of all if it tells its members.
 	Zones []ZoneLoad
-	// Stamp grows with each report of a daemon that others pass on.
-	Stamp uint64
+	// Sequence grows with each report of a daemon that others pass on.
+	Sequence uint64
 	// StoreLost says that the sender lives and has no fresh word of the store's: its own calls
 	// aren't answered, or nobody tells it what another's were.
 	StoreLost bool
@@ -174,39 +174,39 @@
 // Catalog is all that a daemon knows of the store, for one that lacks some of it.
 type Catalog struct {
 	_ struct{} `cbor:",toarray"`
-	// Known says that the sender holds all of the store's content, Age how long ago
+	// Complete says that the sender holds all of the store's content, Age how long ago
 	// the store last confirmed it.
-	Known bool
-	Age   time.Duration
+	Complete bool
+	Age      time.Duration
 	// Version is the bundle that the sender has in force, BundleAsOf as that of News. Update leads
 	// there from what the asker has; it is empty if that is this version or a newer one.
-	Version    bundle.Version
-	BundleAsOf objects.Position
-	Update     PackedUpdate
-	AsOf       objects.Position
-	Digest     uint64
-	Doubt      time.Duration
+	Version         bundle.Version
+	BundleAsOf      objects.Position
+	Update          PackedUpdate
+	AsOf            objects.Position
+	Digest          uint64
+	SuspicionPeriod time.Duration
 	// Evacuated are all evacuated zones that the sender knows.
 	Evacuated evacuation.Zones
-	// Listed says that Registrations is the list as of AsOf. Changed says that Changes
+	// HasRegistrations says that Registrations is the list as of AsOf. Changed says that Changes
 	// lead there from what the asker knows. Neither is sent to one that knows as much.
-	Listed        bool
-	Registrations []registry.Registration
-	Changed       bool
-	Changes       []registry.Change
+	HasRegistrations bool
+	Registrations    []registry.Registration
+	HasChanges       bool
+	Changes          []registry.Change
 	// Members are the daemons that the sender knows, for one that joins.
 	Members []Member
-	// Gone are upstreams that left the list and were found dead, for one that joins. A
+	// Deregistered are upstreams that left the list and were found dead, for one that joins. A
 	// daemon that started after they went can look for itself and tell the callers of
 	// their flows.
-	Gone []GoneUpstream
+	Deregistered []DeregisteredUpstream
 	// Held is, for one that joins, what the sender goes by in place of what the store says, which was restored
 	// from a snapshot.
-	Held HeldBack
+	Held HeldContent
 }
 
-// HeldBack is what a daemon goes by in place of what the store says, which was restored from a snapshot.
-type HeldBack struct {
+// HeldContent is what a daemon goes by in place of what the store says, which was restored from a snapshot.
+type HeldContent struct {
 	_ struct{} `cbor:",toarray"`
 	// Upstreams are of a later content than their entries, Zones are evacuated though the store lacks them. Each
 	// stays for a time.
@@ -217,7 +217,7 @@
 }
 
 // Check implements the check of a wire type.
-func (h *HeldBack) Check() error {
+func (h *HeldContent) Check() error {
 	if len(h.Zones) > evacuation.MaxZones || h.UpstreamsFor < 0 || h.ZonesFor < 0 {
 		return ErrMessage
 	}
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// GoneUpstream is an upstream that left the list.
-type GoneUpstream struct {
+// DeregisteredUpstream is an upstream that left the list.
+type DeregisteredUpstream struct {
 	_       struct{} `cbor:",toarray"`
 	ID      bundle.UpstreamID
 	Address netip.AddrPort
--- a/internal/connection/peer/news_test.go
+++ b/internal/connection/peer/news_test.go
@@ -17,15 +17,15 @@
 	// While many upstreams are replaced, each news is as long as it may be. If it didn't fit
 	// a datagram, no member would hear any of them.
 	It("fits a datagram with as many changes as it may have", func() {
-		n := &peer.News{From: 1 << 60, Age: time.Second, AsOf: 1 << 40, Digest: 1 << 60, Bundle: 1 << 30}
-		for i := range peer.MaxNewsChanges {
+		n := &peer.Advertisement{From: 1 << 60, Age: time.Second, AsOf: 1 << 40, Digest: 1 << 60, Bundle: 1 << 30}
+		for i := range peer.MaxAdvertisedChanges {
 			n.Changes = append(n.Changes, registry.Change{Registration: registry.Registration{
 				ID: bundle.UpstreamID(1<<40 + i), Service: "newsletter-edit", Zone: "regensburg",
 				Address: netip.MustParseAddrPort("10.128.100.100:50000"), Slots: 2, Warmup: 4 * time.Second,
 				Created: objects.Position(1<<20 + i), Revision: objects.Position(1<<20 + i), Born: 1_764_720_000_000, Sequence: 70_000,
 			}})
 		}
-		c, err := peer.NewCodec[peer.News]([]byte("secret"), peer.DomainNews)
+		c, err := peer.NewCodec[peer.Advertisement]([]byte("secret"), peer.DomainAdvertisement)
 		Expect(err).NotTo(HaveOccurred())
 		b, err := c.Encode(n)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/connection/peer/reader.go
+++ b/internal/connection/peer/reader.go
@@ -23,7 +23,7 @@
 	if rank > 0 {
 		return rank
 	}
-	for _, o := range v.OtherReaders() {
+	for _, o := range v.OtherZoneReaders() {
 		if compareReaders(o, self) < 0 {
 			rank++
 		}
@@ -31,9 +31,9 @@
 	return rank
 }
 
-// ZoneReader reports whether this daemon is the first of its zone: it hears the
+// IsZoneReader reports whether this daemon is the first of its zone: it hears the
 // reader of all and tells its zone.
-func (v *View) ZoneReader() bool {
+func (v *View) IsZoneReader() bool {
 	self := v.byID[v.Self]
 	return self == nil || v.zoneRank(self) == 0
 }
@@ -48,9 +48,9 @@
 	return rank
 }
 
-// ReadsBefore reports whether another daemon comes before this one as a reader. A
+// RanksBefore reports whether another daemon comes before this one as a reader. A
 // daemon that isn't known yet doesn't.
-func (v *View) ReadsBefore(id ID) bool {
+func (v *View) RanksBefore(id ID) bool {
 	self, o := v.byID[v.Self], v.byID[id]
 	return self != nil && o != nil && compareReaders(o, self) < 0
 }
@@ -83,8 +83,8 @@
 	return v.zone
 }
 
-// OtherReaders returns the first reader of each other zone.
-func (v *View) OtherReaders() []*Member {
+// OtherZoneReaders returns the first reader of each other zone.
+func (v *View) OtherZoneReaders() []*Member {
 	self := v.byID[v.Self]
 	if self == nil {
 		return nil
@@ -102,11 +102,11 @@
 	return slices.SortedFunc(maps.Values(first), compareReaders)
 }
 
-// Tellers returns the members that a daemon which starts asks in turn: the first readers of its
+// CatalogSources returns the members that a daemon which starts asks in turn: the first readers of its
 // zone and of the others by turns, since a zone that starts as a whole knows nothing before its
 // first reader has heard another zone's.
-func (v *View) Tellers() []*Member {
-	own, others := v.ZoneMembers(), v.OtherReaders()
+func (v *View) CatalogSources() []*Member {
+	own, others := v.ZoneMembers(), v.OtherZoneReaders()
 	var out []*Member
 	for i := range maxTellers / 2 {
 		if i < len(own) {
@@ -137,13 +137,13 @@
 	return 1
 }
 
-// Reading decides whether a daemon reads the store itself or relies on what
+// ReaderElection decides whether a daemon reads the store itself or relies on what
 // another one tells. There is no election: who hears nothing fresh
 // reads, the first in rank soonest, and stops when somebody before it in rank tells
 // fresh news. A reader that died, stands still, is cut off or is turned away by the
 // store is silent all the same, so each of these ends in the same take-over. It
 // isn't safe for concurrent use.
-type Reading struct {
+type ReaderElection struct {
 	reads bool
 	// heard is as of when others told the store's content, better as of when those
 	// before this daemon in rank did.
@@ -174,9 +174,9 @@
 	freshFor = 1500 * time.Millisecond
 )
 
-// Heard notes that another daemon told the store's content as of a time. before
+// Received notes that another daemon told the store's content as of a time. before
 // says that it stands before this one in rank.
-func (r *Reading) Heard(asOf time.Time, before bool) {
+func (r *ReaderElection) Received(asOf time.Time, before bool) {
 	if asOf.After(r.heard) {
 		r.heard = asOf
 	}
@@ -185,14 +185,14 @@
 	}
 }
 
-// StoreLost notes that a daemon which reads lives and has no answer from the store.
-func (r *Reading) StoreLost(at time.Time) { r.lost = at }
+// ReportStoreLost notes that a daemon which reads lives and has no answer from the store.
+func (r *ReaderElection) ReportStoreLost(at time.Time) { r.lost = at }
 
-// StoreIsLost reports whether that was told lately.
-func (r *Reading) StoreIsLost(now time.Time) bool { return now.Sub(r.lost) <= lostFor }
+// StoreReportedLost reports whether that was told lately.
+func (r *ReaderElection) StoreReportedLost(now time.Time) bool { return now.Sub(r.lost) <= lostFor }
 
-// Reads reports whether this daemon, which stands at a rank, reads the store now.
-func (r *Reading) Reads(rank int, now time.Time) bool {
+// ShouldRead reports whether this daemon, which stands at a rank, reads the store now.
+func (r *ReaderElection) ShouldRead(rank int, now time.Time) bool {
 	switch {
 	case rank == 0:
 		r.reads = true
@@ -200,7 +200,7 @@
 		r.reads = now.Sub(r.better) > freshFor
 	default:
 		wait := takeOverAfter + time.Duration(min(rank, takeOverSteps))*takeOverStep
-		if r.StoreIsLost(now) {
+		if r.StoreReportedLost(now) {
 			wait += time.Duration(min(max(0, rank-takeOverSteps), lostRanks)) * lostStep
 		}
 		r.reads = now.Sub(r.heard) > wait
--- a/internal/connection/peer/reader_test.go
+++ b/internal/connection/peer/reader_test.go
@@ -25,14 +25,14 @@
 			member("other", "b", 800),
 		}
 		view := func(name string) *peer.View { return peer.NewView(peer.IDOf(name), members, peer.Changes{}) }
-		Expect(view("large").ZoneReader()).To(BeTrue())
-		Expect(view("small").ZoneReader()).To(BeFalse())
-		Expect(view("other").ZoneReader()).To(BeTrue())
+		Expect(view("large").IsZoneReader()).To(BeTrue())
+		Expect(view("small").IsZoneReader()).To(BeFalse())
+		Expect(view("other").IsZoneReader()).To(BeTrue())
 		Expect(view("small").ReaderRank()).To(Equal(1))
-		Expect(view("small").ReadsBefore(peer.IDOf("large"))).To(BeTrue())
-		Expect(view("large").ReadsBefore(peer.IDOf("small"))).To(BeFalse())
+		Expect(view("small").RanksBefore(peer.IDOf("large"))).To(BeTrue())
+		Expect(view("large").RanksBefore(peer.IDOf("small"))).To(BeFalse())
 		members[1].State = peer.StateLeaving
-		Expect(view("small").ZoneReader()).To(BeTrue())
+		Expect(view("small").IsZoneReader()).To(BeTrue())
 		Expect(view("large").ReaderRank()).To(Equal(1))
 	})
 
@@ -55,13 +55,13 @@
 		reading := func(told bool) int {
 			n := 0
 			for rank := 1; rank < zone; rank++ {
-				var r peer.Reading
-				r.Heard(now, true)
+				var r peer.ReaderElection
+				r.Received(now, true)
 				for at := now; at.Before(now.Add(outage)); at = at.Add(100 * time.Millisecond) {
 					if told && at.Sub(now) > time.Second {
-						r.StoreLost(at)
+						r.ReportStoreLost(at)
 					}
-					if r.Reads(rank, at) {
+					if r.ShouldRead(rank, at) {
 						n++
 						break
 					}
@@ -76,48 +76,48 @@
 	// The store serves only daemons that are far back, and turns those before them away for good.
 	// A bundle would never reach the zone.
 	It("is taken over in the end though the first have no answer", func() {
-		var r peer.Reading
-		r.Heard(now, true)
-		r.StoreLost(now.Add(10 * time.Second))
-		Expect(r.Reads(42, now.Add(10*time.Second))).To(BeFalse())
-		r.StoreLost(now.Add(10500 * time.Millisecond))
-		Expect(r.Reads(42, now.Add(10500*time.Millisecond))).To(BeTrue())
+		var r peer.ReaderElection
+		r.Received(now, true)
+		r.ReportStoreLost(now.Add(10 * time.Second))
+		Expect(r.ShouldRead(42, now.Add(10*time.Second))).To(BeFalse())
+		r.ReportStoreLost(now.Add(10500 * time.Millisecond))
+		Expect(r.ShouldRead(42, now.Add(10500*time.Millisecond))).To(BeTrue())
 	})
 
 	// The daemon that said so dies. Its word must not hold the others back.
 	It("is taken over at once when nobody says any more that the store doesn't answer", func() {
-		var r peer.Reading
-		r.Heard(now, true)
-		r.StoreLost(now.Add(1500 * time.Millisecond))
-		Expect(r.Reads(42, now.Add(2600*time.Millisecond))).To(BeFalse())
-		Expect(r.Reads(42, now.Add(2800*time.Millisecond))).To(BeTrue())
+		var r peer.ReaderElection
+		r.Received(now, true)
+		r.ReportStoreLost(now.Add(1500 * time.Millisecond))
+		Expect(r.ShouldRead(42, now.Add(2600*time.Millisecond))).To(BeFalse())
+		Expect(r.ShouldRead(42, now.Add(2800*time.Millisecond))).To(BeTrue())
 	})
 
 	// The reader freezes, is cut off, or is turned away by the store. No error shows
 	// it to the others; a bundle would reach the zone only when it is back.
 	It("is taken over by the next in rank when no fresh news are heard", func() {
 		for rank, after := range map[int]time.Duration{1: 2 * time.Second, 2: 2200 * time.Millisecond, 20: 2400 * time.Millisecond} {
-			var r peer.Reading
-			r.Heard(now, true)
-			Expect(r.Reads(rank, now.Add(after))).To(BeFalse())
-			Expect(r.Reads(rank, now.Add(after+time.Millisecond))).To(BeTrue())
+			var r peer.ReaderElection
+			r.Received(now, true)
+			Expect(r.ShouldRead(rank, now.Add(after))).To(BeFalse())
+			Expect(r.ShouldRead(rank, now.Add(after+time.Millisecond))).To(BeTrue())
 		}
 	})
 
 	It("ends when one before in rank tells fresh news again, not when one behind does", func() {
-		var r peer.Reading
-		Expect(r.Reads(2, now)).To(BeTrue())
-		r.Heard(now.Add(time.Second), false)
-		Expect(r.Reads(2, now.Add(time.Second))).To(BeTrue())
-		r.Heard(now.Add(time.Second), true)
-		Expect(r.Reads(2, now.Add(time.Second))).To(BeFalse())
-		Expect(r.Reads(0, now.Add(time.Second))).To(BeTrue(), "the first always reads")
+		var r peer.ReaderElection
+		Expect(r.ShouldRead(2, now)).To(BeTrue())
+		r.Received(now.Add(time.Second), false)
+		Expect(r.ShouldRead(2, now.Add(time.Second))).To(BeTrue())
+		r.Received(now.Add(time.Second), true)
+		Expect(r.ShouldRead(2, now.Add(time.Second))).To(BeFalse())
+		Expect(r.ShouldRead(0, now.Add(time.Second))).To(BeTrue(), "the first always reads")
 	})
 
 	It("is decided before the users' smallest bound of three seconds by every rank", func() {
-		var r peer.Reading
-		r.Heard(now, true)
-		Expect(r.Reads(1_000_000, now.Add(2500*time.Millisecond))).To(BeTrue())
+		var r peer.ReaderElection
+		r.Received(now, true)
+		Expect(r.ShouldRead(1_000_000, now.Add(2500*time.Millisecond))).To(BeTrue())
 	})
 })
 
@@ -154,9 +154,9 @@
 	// A member hears fresh news of a bundle that it can't fetch, takes them for its
 	// zone's word, and routes by the old bundle for good.
 	It("lack what they announce and the member doesn't hold", func() {
-		n := peer.News{Bundle: 7, AsOf: 100, Digest: 5}
+		n := peer.Advertisement{Bundle: 7, AsOf: 100, Digest: 5}
 		lacks := func(v bundle.Version, asOf objects.Position, digest uint64) [2]bool {
-			b, l := n.Lacks(v, asOf, digest)
+			b, l := n.MissingFrom(v, asOf, digest)
 			return [2]bool{b, l}
 		}
 		Expect(lacks(7, 100, 5)).To(Equal([2]bool{false, false}))
@@ -172,13 +172,13 @@
 		known := newGroup("known")
 		for i := range 70 {
 			m := newGroup(string(rune('A' + i))).Self()
-			known.Learn(time.Unix(1, 0), []peer.Member{m})
+			known.Merge(time.Unix(1, 0), []peer.Member{m})
 		}
 		joining := newGroup("joining")
 		Expect(joining.Digest()).NotTo(Equal(known.Digest()))
-		joining.Learn(time.Unix(2, 0), known.Known())
+		joining.Merge(time.Unix(2, 0), known.Members())
 		Expect(joining.View().Members).To(HaveLen(72))
-		known.Learn(time.Unix(2, 0), joining.Known())
+		known.Merge(time.Unix(2, 0), joining.Members())
 		Expect(joining.Digest()).To(Equal(known.Digest()), "then nothing more is sent")
 	})
 })
--- a/internal/connection/peer/replay.go
+++ b/internal/connection/peer/replay.go
@@ -53,11 +53,11 @@
 	w.highest = n
 }
 
-// Numbered is a Codec whose messages carry a number of their sender's run, so that one that
+// SequencedCodec is a Codec whose messages carry a number of their sender's run, so that one that
 // somebody recorded and sends again is refused. Without it, old news that come again would look
 // fresh: members would wait for a reader of the store that is gone, and keep an old bundle.
 // It is safe for concurrent use.
-type Numbered[T any, P checked[T]] struct {
+type SequencedCodec[T any, P checked[T]] struct {
 	*Codec[T, P]
 	// run tells one start of the sender from the next.
 	run  uint64
@@ -71,18 +71,18 @@
 // numberBytes are those of a run and a number, big-endian, before the authentication code.
 const numberBytes = 16
 
-// NewNumbered returns a codec like NewCodec for messages that arrive once.
-func NewNumbered[T any, P checked[T]](keys Keys, d Domain) (*Numbered[T, P], error) {
+// NewSequencedCodec returns a codec like NewCodec for messages that arrive once.
+func NewSequencedCodec[T any, P checked[T]](keys Keys, d Domain) (*SequencedCodec[T, P], error) {
 	c, err := NewCodec[T, P](keys.Seal, d)
 	if err != nil {
 		return nil, err
 	}
 	c.SetKeys(keys)
-	return &Numbered[T, P]{Codec: c, run: rand.Uint64(), from: make(map[uint64]*window)}, nil
+	return &SequencedCodec[T, P]{Codec: c, run: rand.Uint64(), from: make(map[uint64]*window)}, nil
 }
 
 // Encode writes a message with the next number.
-func (c *Numbered[T, P]) Encode(m P) ([]byte, error) {
+func (c *SequencedCodec[T, P]) Encode(m P) ([]byte, error) {
 	b, err := c.enc.Marshal(m)
 	if err != nil {
 		return nil, eris.Wrap(err, "peer")
@@ -93,7 +93,7 @@
 }
 
 // Decode checks and reads what Encode wrote. It returns ErrReplayed for what came before.
-func (c *Numbered[T, P]) Decode(b []byte) (P, error) {
+func (c *SequencedCodec[T, P]) Decode(b []byte) (P, error) {
 	b, err := c.open(b)
 	if err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 	return c.read(b[:n])
 }
 
-func (c *Numbered[T, P]) fresh(run, number uint64) bool {
+func (c *SequencedCodec[T, P]) fresh(run, number uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.from[run]
--- a/internal/connection/peer/replay_test.go
+++ b/internal/connection/peer/replay_test.go
@@ -8,16 +8,16 @@
 	"github.com/fescueshed/fescueshed/internal/connection/peer"
 )
 
-func numbered(k peer.Keys) *peer.Numbered[peer.News, *peer.News] {
+func numbered(k peer.Keys) *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement] {
 	GinkgoHelper()
-	c, err := peer.NewNumbered[peer.News](k, peer.DomainNews)
+	c, err := peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement)
 	Expect(err).NotTo(HaveOccurred())
 	return c
 }
 
-func sealed(c *peer.Numbered[peer.News, *peer.News]) []byte {
+func sealed(c *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement]) []byte {
 	GinkgoHelper()
-	b, err := c.Encode(&peer.News{From: 1})
+	b, err := c.Encode(&peer.Advertisement{From: 1})
 	Expect(err).NotTo(HaveOccurred())
 	return b
 }
--- a/internal/connection/peer/snapshot.go
+++ b/internal/connection/peer/snapshot.go
@@ -8,7 +8,7 @@
 
 // View returns the present view.
 func (m *Membership) View() *View {
-	members := m.Known()
+	members := m.Members()
 	zones := make(map[bundle.Zone]bool)
 	zones[m.self.Zone] = true
 	for _, id := range m.order {
@@ -19,24 +19,24 @@
 }
 
 func (m *Membership) changes(reached map[bundle.Zone]bool) Changes {
-	c := Changes{Recent: !m.changed.IsZero(), Unsettled: m.unsettled}
+	c := Changes{RecentlyChanged: !m.changed.IsZero(), RepeatsPossible: m.unsettled}
 	for _, l := range m.lost {
 		c.Lost = append(c.Lost, l.Member)
 	}
 	for _, id := range m.order {
 		if m.peers[id].fresh {
-			c.Fresh = append(c.Fresh, id)
+			c.RecentlyJoined = append(c.RecentlyJoined, id)
 		}
 	}
 	for z, ok := range reached {
 		if !ok {
-			c.CutZones = append(c.CutZones, z)
+			c.UnreachableZones = append(c.UnreachableZones, z)
 		}
 	}
-	slices.Sort(c.CutZones)
+	slices.Sort(c.UnreachableZones)
 	for _, id := range m.order {
 		if r := m.peers[id]; r.State == StateDead && !reached[r.Zone] {
-			c.Unreachable = append(c.Unreachable, r.Member)
+			c.UnreachableMembers = append(c.UnreachableMembers, r.Member)
 		}
 	}
 	return c
--- a/internal/connection/peer/start.go
+++ b/internal/connection/peer/start.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Start decides whether a daemon that can't place flows yet reads the store for itself. The
+// Startup decides whether a daemon that can't place flows yet reads the store for itself. The
 // store's calls and its link are what a fleet that starts as a whole has least of. So a daemon
 // reads only if somebody waits or may wait for it, if it is the one that reads for all, or if
 // nobody has told it in time. The others ask members. It is a value and safe for concurrent use.
-type Start struct {
-	// Began is when the daemon started.
-	Began time.Time
-	// First says that the whole system starts for the first time, so that no callers wait yet.
-	First bool
+type Startup struct {
+	// StartedAt is when the daemon started.
+	StartedAt time.Time
+	// FirstStart says that the whole system starts for the first time, so that no callers wait yet.
+	FirstStart bool
 }
 
-// Newcomer is what a daemon knows of the system while it starts.
-type Newcomer struct {
-	// CallersWait says that a caller's packet has come.
-	CallersWait bool
-	// MetServing says that a member which can place flows has answered.
-	MetServing bool
+// StartupState is what a daemon knows of the system while it starts.
+type StartupState struct {
+	// CallersWaiting says that a caller's packet has come.
+	CallersWaiting bool
+	// ServingMemberSeen says that a member which can place flows has answered.
+	ServingMemberSeen bool
 	// Rank is the daemon's ReaderRank, Others how many other members it knows.
 	Rank, Others int
 }
@@ -45,13 +45,13 @@
 	toldRanks = 60
 )
 
-// Reads reports whether the daemon reads the store now.
-func (s Start) Reads(n Newcomer, now time.Time) bool {
-	passed := now.Sub(s.Began)
+// ShouldRead reports whether the daemon reads the store now.
+func (s Startup) ShouldRead(n StartupState, now time.Time) bool {
+	passed := now.Sub(s.StartedAt)
 	switch {
-	case n.CallersWait:
+	case n.CallersWaiting:
 		return true
-	case !s.First && !n.MetServing:
+	case !s.FirstStart && !n.ServingMemberSeen:
 		return passed >= meetAfter
 	case n.Others == 0:
 		return passed >= aloneAfter
@@ -61,11 +61,11 @@
 	return passed >= toldAfter+time.Duration(min(n.Rank, toldRanks))*toldStep
 }
 
-// AskPause returns how long a daemon waits before it asks the next member, of which part, 0 to 1,
+// RequestDelay returns how long a daemon waits before it asks the next member, of which part, 0 to 1,
 // says how much.
-func (s Start) AskPause(part float64) time.Duration {
+func (s Startup) RequestDelay(part float64) time.Duration {
 	pause := askPause
-	if s.First {
+	if s.FirstStart {
 		pause = firstAskPause
 	}
 	return time.Duration((0.5 + part) * float64(pause))
@@ -83,8 +83,8 @@
 // ReaderRank returns the rank by which the daemon follows the store once it can place flows, if
 // its view says rank. One that started just now knows few others and takes itself for the first:
 // after a loss of power 195 hosts would each follow the store until they had found each other.
-func (s Start) ReaderRank(rank int, now time.Time) int {
-	if now.Sub(s.Began) < foundAfter {
+func (s Startup) ReaderRank(rank int, now time.Time) int {
+	if now.Sub(s.StartedAt) < foundAfter {
 		return max(rank, 1)
 	}
 	return rank
@@ -94,10 +94,10 @@
 // Until then what it read itself, or was told, is fresh.
 const foundAfter = time.Second
 
-// Tells reports whether a member of a size is worth asking by a daemon of another that is reading
+// IsLargerSource reports whether a member of a size is worth asking by a daemon of another that is reading
 // a long list while all hosts come back: one that is no larger starts no sooner, and takes as long
 // to read the list as the daemon itself.
-func Tells(member, self uint32) bool { return member >= tellerFactor*self }
+func IsLargerSource(member, self uint32) bool { return member >= tellerFactor*self }
 
 // tellerFactor is by how much a member must be larger.
 const tellerFactor = 2
--- a/internal/connection/peer/start_test.go
+++ b/internal/connection/peer/start_test.go
@@ -15,41 +15,41 @@
 
 var _ = Describe("A daemon that starts", func() {
 	began := time.Unix(1_000_000, 0)
-	first := peer.Start{Began: began, First: true}
-	later := peer.Start{Began: began}
+	first := peer.Startup{StartedAt: began, FirstStart: true}
+	later := peer.Startup{StartedAt: began}
 
 	// All hosts of a fleet start together and nobody asks anything of them yet. If each read
 	// the store, 195 of them would make 1,750 calls, where one that tells the others makes 9.
 	It("reads the store only if it must", func() {
 		for name, c := range map[string]struct {
-			start peer.Start
-			n     peer.Newcomer
+			start peer.Startup
+			n     peer.StartupState
 			after time.Duration
 		}{
-			"callers wait":                  {first, peer.Newcomer{CallersWait: true, Rank: 9, Others: 40}, 0},
-			"first of all":                  {first, peer.Newcomer{Rank: 0, Others: 40}, time.Second},
-			"knows no other one":            {first, peer.Newcomer{}, 1200 * time.Millisecond},
-			"second in rank, nobody tells":  {first, peer.Newcomer{Rank: 1, Others: 40}, 2550 * time.Millisecond},
-			"fortieth, nobody tells":        {first, peer.Newcomer{Rank: 40, Others: 40}, 4500 * time.Millisecond},
-			"thousandth, nobody tells":      {first, peer.Newcomer{Rank: 1000, Others: 1000}, 5500 * time.Millisecond},
-			"all come back, nobody serves":  {later, peer.Newcomer{Rank: 9, Others: 40}, 20 * time.Millisecond},
-			"all come back, alone":          {later, peer.Newcomer{}, 20 * time.Millisecond},
-			"one of many, others serve":     {later, peer.Newcomer{MetServing: true, Rank: 40, Others: 40}, 4500 * time.Millisecond},
-			"one of many, first of all":     {later, peer.Newcomer{MetServing: true, Others: 40}, time.Second},
-			"one of many, but callers wait": {later, peer.Newcomer{CallersWait: true, MetServing: true, Others: 40}, 0},
+			"callers wait":                  {first, peer.StartupState{CallersWaiting: true, Rank: 9, Others: 40}, 0},
+			"first of all":                  {first, peer.StartupState{Rank: 0, Others: 40}, time.Second},
+			"knows no other one":            {first, peer.StartupState{}, 1200 * time.Millisecond},
+			"second in rank, nobody tells":  {first, peer.StartupState{Rank: 1, Others: 40}, 2550 * time.Millisecond},
+			"fortieth, nobody tells":        {first, peer.StartupState{Rank: 40, Others: 40}, 4500 * time.Millisecond},
+			"thousandth, nobody tells":      {first, peer.StartupState{Rank: 1000, Others: 1000}, 5500 * time.Millisecond},
+			"all come back, nobody serves":  {later, peer.StartupState{Rank: 9, Others: 40}, 20 * time.Millisecond},
+			"all come back, alone":          {later, peer.StartupState{}, 20 * time.Millisecond},
+			"one of many, others serve":     {later, peer.StartupState{ServingMemberSeen: true, Rank: 40, Others: 40}, 4500 * time.Millisecond},
+			"one of many, first of all":     {later, peer.StartupState{ServingMemberSeen: true, Others: 40}, time.Second},
+			"one of many, but callers wait": {later, peer.StartupState{CallersWaiting: true, ServingMemberSeen: true, Others: 40}, 0},
 		} {
 			if c.after > 0 {
-				Expect(c.start.Reads(c.n, began.Add(c.after-time.Millisecond))).To(BeFalse(), name)
+				Expect(c.start.ShouldRead(c.n, began.Add(c.after-time.Millisecond))).To(BeFalse(), name)
 			}
-			Expect(c.start.Reads(c.n, began.Add(c.after))).To(BeTrue(), name)
+			Expect(c.start.ShouldRead(c.n, began.Add(c.after))).To(BeTrue(), name)
 		}
 	})
 
 	It("asks only larger members for a long list while callers wait", func() {
-		Expect(peer.Tells(800, 61)).To(BeTrue())
-		Expect(peer.Tells(61, 61)).To(BeFalse())
-		Expect(peer.Tells(100, 61)).To(BeFalse())
-		Expect(peer.Tells(0, 61)).To(BeFalse(), "a contact of an older daemon doesn't tell its size")
+		Expect(peer.IsLargerSource(800, 61)).To(BeTrue())
+		Expect(peer.IsLargerSource(61, 61)).To(BeFalse())
+		Expect(peer.IsLargerSource(100, 61)).To(BeFalse())
+		Expect(peer.IsLargerSource(0, 61)).To(BeFalse(), "a contact of an older daemon doesn't tell its size")
 	})
 })
 
@@ -82,7 +82,7 @@
 			all = append(all, member(fmt.Sprintf("small-%d", i), "a", 60, byte(10+i)))
 		}
 		all = append(all, member("large", "a", 800, 50), member("middle", "a", 400, 51), member("first", "c", 800, 52))
-		seed.Learn(now, all)
+		seed.Merge(now, all)
 		newcomer := member("new", "a", 60, 99)
 		out := seed.Receive(now, newcomer.Control, &peer.Message{Kind: peer.KindPing, Seq: 7, From: newcomer})
 		Expect(out).To(HaveLen(1))
@@ -96,7 +96,7 @@
 
 	It("stay within what one message carries", func() {
 		seed := membership(member("seed", "a", 60, 1), 2)
-		seed.Learn(now, []peer.Member{
+		seed.Merge(now, []peer.Member{
 			member("a1", "a", 60, 2), member("a2", "a", 60, 3), member("a3", "a", 60, 4), member("b1", "b", 60, 5),
 		})
 		newcomer := member("new", "a", 60, 99)
@@ -109,7 +109,7 @@
 		newcomer := member("new", "a", 60, 99)
 		ping := &peer.Message{Kind: peer.KindPing, From: newcomer}
 		seed.Receive(now, newcomer.Control, ping)
-		seed.Learn(now, []peer.Member{member("a1", "a", 60, 2)})
+		seed.Merge(now, []peer.Member{member("a1", "a", 60, 2)})
 		Expect(seed.Receive(now.Add(2*time.Second), newcomer.Control, ping)[0].Message.Updates).NotTo(BeEmpty())
 		later := now.Add(4 * time.Second)
 		for range 20 { // Gossip about the newcomer itself runs out.
@@ -126,8 +126,8 @@
 		for i := range 30 {
 			all = append(all, member(fmt.Sprintf("m-%d", i), "a", 60, byte(10+i)))
 		}
-		m.Learn(now, all)
-		Expect(m.Known()).To(HaveLen(31))
-		Expect(m.Greet(all[0].Control)[0].Message.Updates).To(BeEmpty())
+		m.Merge(now, all)
+		Expect(m.Members()).To(HaveLen(31))
+		Expect(m.PingAddress(all[0].Control)[0].Message.Updates).To(BeEmpty())
 	})
 })
--- a/internal/connection/peer/sum.go
+++ b/internal/connection/peer/sum.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Loads are told each EagerPeriod in the first two seconds of a daemon. All hosts may have lost
+// Loads are told each StartupReportPeriod in the first two seconds of a daemon. All hosts may have lost
 // power; each then places what callers held back in half a second, knowing nothing of the
 // others. With loads told each half second only, all send to the same upstreams in that time,
 // which shed while others have room.
 const (
-	EagerPeriod = 100 * time.Millisecond
-	eagerFor    = 2 * time.Second
+	StartupReportPeriod = 100 * time.Millisecond
+	eagerFor            = 2 * time.Second
 )
 
-// TellsEagerly reports whether a daemon that started so long ago tells loads each EagerPeriod.
-func TellsEagerly(sinceStart time.Duration) bool { return sinceStart < eagerFor }
+// UsesStartupReportPeriod reports whether a daemon that started so long ago tells loads each EagerPeriod.
+func UsesStartupReportPeriod(sinceStart time.Duration) bool { return sinceStart < eagerFor }
 
 // SumReports adds up what several daemons count, the busiest upstreams first, within the
 // limits of a Report.
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -40,20 +40,20 @@
 
 // Changes is what happened to the members lately.
 type Changes struct {
-	// Recent is set for some time after any change.
-	Recent bool
-	// Unsettled is set for as long after a change as a caller may repeat a message
+	// RecentlyChanged is set for some time after any change.
+	RecentlyChanged bool
+	// RepeatsPossible is set for as long after a change as a caller may repeat a message
 	// that went through another home before it.
-	Unsettled bool
+	RepeatsPossible bool
 	// Lost are members that went without handing over.
 	Lost []Member
-	// Fresh are members that joined or restarted lately: records that the ranking
+	// RecentlyJoined are members that joined or restarted lately: records that the ranking
 	// gives them may still be with the next one.
-	Fresh []ID
-	// CutZones are those whose known members are all out of reach.
-	CutZones []bundle.Zone
-	// Unreachable are the members of those zones. They may live and decide.
-	Unreachable []Member
+	RecentlyJoined []ID
+	// UnreachableZones are those whose known members are all out of reach.
+	UnreachableZones []bundle.Zone
+	// UnreachableMembers are the members of those zones. They may live and decide.
+	UnreachableMembers []Member
 }
 
 // NewView makes the view of the daemon self.
@@ -84,10 +84,10 @@
 	}
 }
 
-// Reaches reports whether the upstreams of a zone can be reached, as far as its
+// CanReach reports whether the upstreams of a zone can be reached, as far as its
 // members tell.
-func (v *View) Reaches(z bundle.Zone) bool {
-	return !slices.Contains(v.CutZones, z)
+func (v *View) CanReach(z bundle.Zone) bool {
+	return !slices.Contains(v.UnreachableZones, z)
 }
 
 // Member returns the member with an identifier, or nil.
@@ -96,9 +96,9 @@
 // MemberAt returns the member that sends Geneve packets from a, or nil.
 func (v *View) MemberAt(a netip.Addr) *Member { return v.byAddr[a] }
 
-// Home returns the member that decides for a flow: the first in rank of those
+// Owner returns the member that decides for a flow: the first in rank of those
 // who stay. If all are leaving, the first of these.
-func (v *View) Home(h FlowHash) *Member {
+func (v *View) Owner(h FlowHash) *Member {
 	if len(v.scores) == 0 {
 		return v.first(h, filter{leaving: true})
 	}
@@ -127,7 +127,7 @@
 // Placer returns the member that chooses the upstreams for the new flows of a
 // service, so that one place knows all of them.
 func (v *View) Placer(s bundle.VNI) *Member {
-	return v.Home(FlowHash(Mix(uint64(s) ^ placerSalt)))
+	return v.Owner(FlowHash(Mix(uint64(s) ^ placerSalt)))
 }
 
 // Replica returns the member of zone z that keeps a copy of a flow's record, so
@@ -155,8 +155,8 @@
 	return before < n
 }
 
-// Keeps reports whether this daemon keeps its zone's copy of a flow's record.
-func (v *View) Keeps(h FlowHash, home ID) bool {
+// IsReplica reports whether this daemon keeps its zone's copy of a flow's record.
+func (v *View) IsReplica(h FlowHash, home ID) bool {
 	self := v.byID[v.Self]
 	if self == nil {
 		return true
@@ -168,19 +168,19 @@
 // Zones returns the zones of the members, in a fixed order for this view.
 func (v *View) Zones() []bundle.Zone { return v.zones }
 
-// BeyondCut reports whether the flow's home would be in a zone that is cut off:
+// OwnerMayBeUnreachable reports whether the flow's home would be in a zone that is cut off:
 // new flows that this side doesn't know may have been placed on that side.
-func (v *View) BeyondCut(h FlowHash) bool {
-	if len(v.Unreachable) == 0 {
+func (v *View) OwnerMayBeUnreachable(h FlowHash) bool {
+	if len(v.UnreachableMembers) == 0 {
 		return false
 	}
-	home := v.Home(h)
+	home := v.Owner(h)
 	if home == nil {
 		return true
 	}
 	best := score(h, home.ID)
-	for i := range v.Unreachable {
-		if score(h, v.Unreachable[i].ID) > best {
+	for i := range v.UnreachableMembers {
+		if score(h, v.UnreachableMembers[i].ID) > best {
 			return true
 		}
 	}
@@ -207,7 +207,7 @@
 	case m.State == StateLeaving && !f.leaving:
 		return false
 	}
-	return !f.settled || !slices.Contains(v.Fresh, m.ID)
+	return !f.settled || !slices.Contains(v.RecentlyJoined, m.ID)
 }
 
 // first returns the first in rank of the members that pass, or nil.
@@ -239,10 +239,10 @@
 	}
 }
 
-// AddHolders lists in hop the members that may hold a record of the flow, this
+// AddPossibleReplicas lists in hop the members that may hold a record of the flow, this
 // daemon left out: who is home or backup of any zone now, and who was before
 // members came or began to leave.
-func (v *View) AddHolders(h FlowHash, hop *geneve.Hop) {
+func (v *View) AddPossibleReplicas(h FlowHash, hop *geneve.Hop) {
 	v.addRanked(h, "", hop)
 	for _, z := range v.zones {
 		v.addRanked(h, z, hop)
@@ -259,17 +259,17 @@
 			return
 		}
 		v.addHolder(hop, m)
-		if m.State != StateLeaving && !slices.Contains(v.Fresh, m.ID) {
+		if m.State != StateLeaving && !slices.Contains(v.RecentlyJoined, m.ID) {
 			return
 		}
 		f.below = score(h, m.ID)
 	}
 }
 
-// AddAll lists in hop all other members by rank, as far as there is room. They
+// AddAllMembers lists in hop all other members by rank, as far as there is room. They
 // are asked if the holders by the ranking may be dead: a former holder may
 // still have the record.
-func (v *View) AddAll(h FlowHash, hop *geneve.Hop) {
+func (v *View) AddAllMembers(h FlowHash, hop *geneve.Hop) {
 	ranked := make([]*Member, 0, len(v.Members))
 	for i := range v.Members {
 		if m := &v.Members[i]; m.ID != v.Self {
@@ -288,9 +288,9 @@
 	}
 }
 
-// MayBeLost reports whether the home of a flow and a backup of it can both have
+// RecordMayBeLost reports whether the home of a flow and a backup of it can both have
 // gone without handing over, so that "nobody knows" doesn't mean "new".
-func (v *View) MayBeLost(h FlowHash) bool {
+func (v *View) RecordMayBeLost(h FlowHash) bool {
 	if len(v.Lost) == 0 {
 		return false
 	}
--- a/internal/connection/peer/warmer.go
+++ b/internal/connection/peer/warmer.go
@@ -6,11 +6,11 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Warmers says which members send flows to an upstream that is slow after its start and bears few a second.
+// WarmupLimiter says which members send flows to an upstream that is slow after its start and bears few a second.
 // They are a few of its zone, by rendezvous hashing, so all members together keep to what it bears
 // without a word between them. Members whose views differ name others; the bound leaves room for half as
 // many more. It isn't safe for concurrent use.
-type Warmers struct {
+type WarmupLimiter struct {
 	self ID
 	// seen holds when each member of the zone was last there, alive how many are now.
 	seen  map[ID]time.Time
@@ -35,13 +35,13 @@
 	warmerGone = 3 * time.Second
 )
 
-// NewWarmers returns the warmers of a daemon that knows the others from a time on.
-func NewWarmers(self ID, joined time.Time) *Warmers {
-	return &Warmers{self: self, joined: joined, seen: make(map[ID]time.Time)}
+// NewWarmupLimiter returns the warmers of a daemon that knows the others from a time on.
+func NewWarmupLimiter(self ID, joined time.Time) *WarmupLimiter {
+	return &WarmupLimiter{self: self, joined: joined, seen: make(map[ID]time.Time)}
 }
 
-// See takes in a view. It is called at least each second.
-func (w *Warmers) See(v *View, now time.Time) {
+// Update takes in a view. It is called at least each second.
+func (w *WarmupLimiter) Update(v *View, now time.Time) {
 	w.now = now
 	zone := v.readers()
 	for _, m := range zone {
@@ -61,7 +61,7 @@
 // Share returns how many flows this daemon may send in any second to a slow upstream that bears so many, zero if
 // none. A daemon that is cut off from half of its zone sends none: the others do, and both
 // sides together would send twice of what the upstream bears.
-func (w *Warmers) Share(id bundle.UpstreamID, rate float64) int {
+func (w *WarmupLimiter) Share(id bundle.UpstreamID, rate float64) int {
 	if w.now.Before(w.joined) || 2*w.alive <= w.most {
 		return 0
 	}
--- a/internal/connection/peer/warmer_test.go
+++ b/internal/connection/peer/warmer_test.go
@@ -14,14 +14,14 @@
 
 // sharer is a way to share what a slow upstream bears.
 type sharer interface {
-	See(v *peer.View, now time.Time)
+	Update(v *peer.View, now time.Time)
 	Share(id bundle.UpstreamID, rate float64) int
 }
 
 // evenly gives each member of the zone the same part, one flow a second at least.
 type evenly struct{ members int }
 
-func (e *evenly) See(v *peer.View, _ time.Time) { e.members = len(v.Members) }
+func (e *evenly) Update(v *peer.View, _ time.Time) { e.members = len(v.Members) }
 
 func (e *evenly) Share(_ bundle.UpstreamID, rate float64) int {
 	return max(1, int(rate)/max(1, e.members))
@@ -125,7 +125,7 @@
 				list = append(list, peer.Member{ID: id, Zone: "a"})
 			}
 		}
-		h.sharer.See(peer.NewView(h.self, list, peer.Changes{}), start.Add(at))
+		h.sharer.Update(peer.NewView(h.self, list, peer.Changes{}), start.Add(at))
 		h.share = h.sharer.Share(7, rate)
 	}
 	for len(h.sent) > 0 && at-h.sent[0] >= time.Second {
@@ -148,7 +148,7 @@
 			It(fmt.Sprintf("keep to its bound of %v a second while %d members come, go and are cut off", rate, n), func() {
 				for seed := range uint64(3) {
 					most, mean := warmZone(n, rate, seed, func(self peer.ID, joined time.Time) sharer {
-						return peer.NewWarmers(self, joined)
+						return peer.NewWarmupLimiter(self, joined)
 					})
 					Expect(most).To(BeNumerically("<=", 1.5*rate+5), "seed %d", seed)
 					Expect(mean).To(BeNumerically(">", 0), "seed %d", seed)
@@ -165,20 +165,20 @@
 
 	It("are none on a side of a cut that lost most of its zone", func() {
 		start := time.Unix(1_000_000, 0)
-		w := peer.NewWarmers(1, start.Add(-time.Hour))
+		w := peer.NewWarmupLimiter(1, start.Add(-time.Hour))
 		all := []peer.Member{{ID: 1, Zone: "a"}, {ID: 2, Zone: "a"}, {ID: 3, Zone: "a"}, {ID: 4, Zone: "a"}}
-		w.See(peer.NewView(1, all, peer.Changes{}), start)
+		w.Update(peer.NewView(1, all, peer.Changes{}), start)
 		Expect(w.Share(9, 40)).To(BeNumerically(">", 0))
-		w.See(peer.NewView(1, all[:2], peer.Changes{}), start.Add(time.Second))
+		w.Update(peer.NewView(1, all[:2], peer.Changes{}), start.Add(time.Second))
 		Expect(w.Share(9, 40)).To(BeZero())
-		w.See(peer.NewView(1, all[:2], peer.Changes{}), start.Add(2*time.Minute))
+		w.Update(peer.NewView(1, all[:2], peer.Changes{}), start.Add(2*time.Minute))
 		Expect(w.Share(9, 40)).To(BeNumerically(">", 0), "the others are gone for good")
 	})
 
 	It("are none of those that don't know the others yet", func() {
 		start := time.Unix(1_000_000, 0)
-		w := peer.NewWarmers(1, start.Add(time.Second))
-		w.See(peer.NewView(1, []peer.Member{{ID: 1, Zone: "a"}}, peer.Changes{}), start)
+		w := peer.NewWarmupLimiter(1, start.Add(time.Second))
+		w.Update(peer.NewView(1, []peer.Member{{ID: 1, Zone: "a"}}, peer.Changes{}), start)
 		Expect(w.Share(9, 40)).To(BeZero())
 	})
 })
--- a/internal/connection/upstream/board.go
+++ b/internal/connection/upstream/board.go
@@ -32,8 +32,8 @@
 	return l.Flows.Load() + l.heard.Load() + l.recent.Load()
 }
 
-// Board holds the loads of all upstreams. It is safe for concurrent use.
-type Board struct {
+// LoadTable holds the loads of all upstreams. It is safe for concurrent use.
+type LoadTable struct {
 	// mu guards all below. It is a leaf: nothing is locked while it is held.
 	mu     sync.RWMutex
 	loads  map[bundle.UpstreamID]*Load
@@ -47,16 +47,16 @@
 	until time.Time
 }
 
-// NewBoard returns a board without loads.
-func NewBoard() *Board {
-	return &Board{
+// NewLoadTable returns a board without loads.
+func NewLoadTable() *LoadTable {
+	return &LoadTable{
 		loads: make(map[bundle.UpstreamID]*Load),
 		told:  make(map[MemberID]map[bundle.UpstreamID]uint32),
 	}
 }
 
 // Load returns the load of an upstream and makes it at first use.
-func (b *Board) Load(id bundle.UpstreamID) *Load {
+func (b *LoadTable) Load(id bundle.UpstreamID) *Load {
 	b.mu.RLock()
 	l := b.loads[id]
 	b.mu.RUnlock()
@@ -68,7 +68,7 @@
 	return b.load(id)
 }
 
-func (b *Board) load(id bundle.UpstreamID) *Load {
+func (b *LoadTable) load(id bundle.UpstreamID) *Load {
 	l := b.loads[id]
 	if l == nil {
 		l = &Load{}
@@ -80,7 +80,7 @@
 // Forget drops the load of an upstream that is gone for good. Each start of an upstream
 // that registers itself has an identifier of its own, so a daemon that runs for weeks
 // would else keep one for each replacement of each upstream.
-func (b *Board) Forget(id bundle.UpstreamID) {
+func (b *LoadTable) Forget(id bundle.UpstreamID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.loads, id)
@@ -90,15 +90,15 @@
 }
 
 // Len returns how many upstreams have a load.
-func (b *Board) Len() int {
+func (b *LoadTable) Len() int {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return len(b.loads)
 }
 
-// Heard takes in how many flows another member is home of, by upstream in the
+// UpdateReported takes in how many flows another member is home of, by upstream in the
 // order of ids.
-func (b *Board) Heard(from MemberID, ids []bundle.UpstreamID, flows []uint32) {
+func (b *LoadTable) UpdateReported(from MemberID, ids []bundle.UpstreamID, flows []uint32) {
 	if len(ids) != len(flows) {
 		return // Told of another version of the bundle.
 	}
@@ -115,8 +115,8 @@
 	}
 }
 
-// Keep forgets what members told that aren't among those given.
-func (b *Board) Keep(members []MemberID) {
+// RetainMembers forgets what members told that aren't among those given.
+func (b *LoadTable) RetainMembers(members []MemberID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for m, flows := range b.told {
@@ -131,7 +131,7 @@
 }
 
 // Placed counts a flow as recent until its home will have told of it.
-func (b *Board) Placed(id bundle.UpstreamID, until time.Time) {
+func (b *LoadTable) Placed(id bundle.UpstreamID, until time.Time) {
 	l := b.Load(id)
 	l.recent.Add(1)
 	b.mu.Lock()
@@ -140,7 +140,7 @@
 }
 
 // Expire takes back what has been recent for long enough.
-func (b *Board) Expire(now time.Time) {
+func (b *LoadTable) Expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
--- a/internal/connection/upstream/policy.go
+++ b/internal/connection/upstream/policy.go
@@ -12,13 +12,13 @@
 	Load  *Load
 	// Cold is set for an upstream that is slow since it just started.
 	Cold bool
-	// Busy is how many requests are in progress for each flow of the service, zero
-	// if that isn't known. Flows for each slot times Busy is the utilization.
-	Busy float64
-	// ZoneFlows is how many flows the candidate's zone holds for each slot, as its
+	// RequestsPerFlow is how many requests are in progress for each flow of the service, zero
+	// if that isn't known. Flows for each slot times RequestsPerFlow is the utilization.
+	RequestsPerFlow float64
+	// ZoneFlowsPerSlot is how many flows the candidate's zone holds for each slot, as its
 	// own members count them, negative if that isn't known. It isn't used for the
 	// daemon's own zone, whose flows are those of its candidates.
-	ZoneFlows float64
+	ZoneFlowsPerSlot float64
 }
 
 // Policy chooses among candidates. seed differs from flow to flow, so that equal
--- a/internal/connection/upstream/rush_test.go
+++ b/internal/connection/upstream/rush_test.go
@@ -190,7 +190,7 @@
 	host := z.hosts[r.rng.IntN(rushHosts)]
 	var candidates []upstream.Candidate
 	byID := make(map[bundle.UpstreamID]*rushUpstream)
-	board := upstream.NewBoard()
+	board := upstream.NewLoadTable()
 	for _, u := range r.upstreams {
 		if u.dead {
 			continue
@@ -201,10 +201,10 @@
 		l := board.Load(u.route.ID)
 		own := host[u].Flows.Load()
 		l.Flows.Store(own)
-		board.Heard(upstream.MemberID(u.route.ID), []bundle.UpstreamID{u.route.ID}, []uint32{uint32(max(0, z.told[u]-own))})
+		board.UpdateReported(upstream.MemberID(u.route.ID), []bundle.UpstreamID{u.route.ID}, []uint32{uint32(max(0, z.told[u]-own))})
 		byID[u.route.ID] = u
 		candidates = append(candidates, upstream.Candidate{
-			Route: u.route, Load: l, Busy: r.busy, ZoneFlows: r.zoneFlows(zone, u.route.Zone),
+			Route: u.route, Load: l, RequestsPerFlow: r.busy, ZoneFlowsPerSlot: r.zoneFlows(zone, u.route.Zone),
 		})
 	}
 	route := r.policy(zone).Choose(candidates, r.rng.Uint64())
@@ -240,8 +240,8 @@
 
 func (o ownOnly) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
 	for i := range candidates {
-		if candidates[i].ZoneFlows != 0 {
-			candidates[i].ZoneFlows = -1 // Not known: nothing spills there.
+		if candidates[i].ZoneFlowsPerSlot != 0 {
+			candidates[i].ZoneFlowsPerSlot = -1 // Not known: nothing spills there.
 		}
 	}
 	return o.Policy.Choose(candidates, seed)
@@ -266,7 +266,7 @@
 	// while its neighbours idle.
 	It("doesn't send all new flows of half a second to one upstream", func() {
 		play := func(choices int) *rush {
-			r := newRush(40, []bundle.Zone{"a"}, func(z bundle.Zone) upstream.Policy { return upstream.NewZoned(z, choices) })
+			r := newRush(40, []bundle.Zone{"a"}, func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, choices) })
 			for range 1100 {
 				r.at(time.Duration(r.rng.Int64N(int64(time.Second))), func() { r.caller("a") })
 			}
@@ -294,7 +294,7 @@
 		r.play()
 		return r
 	}
-	spill := func(z bundle.Zone) upstream.Policy { return upstream.NewZoned(z, upstream.DefaultChoices) }
+	spill := func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, upstream.DefaultChoices) }
 	never := func(z bundle.Zone) upstream.Policy { return ownOnly{spill(z)} }
 	// knowing places by the least loaded of all zones: it pays for each byte across.
 	knowing := func(bundle.Zone) upstream.Policy { return upstream.LeastLoaded{} }
--- a/internal/connection/upstream/zoned.go
+++ b/internal/connection/upstream/zoned.go
@@ -7,11 +7,11 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Zoned places new flows in the daemon's own zone as long as its upstreams there have
+// ZoneAware places new flows in the daemon's own zone as long as its upstreams there have
 // room, and in another zone while they are crowded and that one isn't: what crosses
 // zones is what a cut between them breaks, and its bytes are paid for. It takes
 // the least loaded of a few candidates that it draws. It isn't safe for concurrent use.
-type Zoned struct {
+type ZoneAware struct {
 	zone    bundle.Zone
 	choices int
 	drawn   []int
@@ -23,9 +23,9 @@
 // well as the best of all would be with full knowledge (Mitzenmacher 2001).
 const DefaultChoices = 2
 
-// NewZoned returns a policy for a daemon in a zone that draws so many candidates.
-func NewZoned(zone bundle.Zone, choices int) *Zoned {
-	return &Zoned{zone: zone, choices: choices}
+// NewZoneAware returns a policy for a daemon in a zone that draws so many candidates.
+func NewZoneAware(zone bundle.Zone, choices int) *ZoneAware {
+	return &ZoneAware{zone: zone, choices: choices}
 }
 
 // coldFlows is how many flows more an upstream counts while it is slow after its
@@ -50,7 +50,7 @@
 )
 
 // Choose implements Policy.
-func (z *Zoned) Choose(candidates []Candidate, seed uint64) *bundle.UpstreamRoute {
+func (z *ZoneAware) Choose(candidates []Candidate, seed uint64) *bundle.UpstreamRoute {
 	own := z.least(candidates, seed, true)
 	crowding := z.utilization(candidates)
 	if own != nil && crowding <= crowded && own.outstanding() < occupied {
@@ -62,9 +62,9 @@
 		return nil
 	case own == nil:
 		return other.Route
-	case other == nil || other.ZoneFlows < 0:
+	case other == nil || other.ZoneFlowsPerSlot < 0:
 		return own.Route
-	case crowding > crowded && other.ZoneFlows*other.Busy+spillMargin < crowding:
+	case crowding > crowded && other.ZoneFlowsPerSlot*other.RequestsPerFlow+spillMargin < crowding:
 		return other.Route
 	case own.outstanding() >= occupied && other.outstanding()+occupiedMargin < own.outstanding():
 		return other.Route
@@ -74,13 +74,13 @@
 
 // utilization estimates the share of the own zone's slots that are in use. It is
 // taken over the whole zone: one upstream's flows say too little.
-func (z *Zoned) utilization(candidates []Candidate) float64 {
+func (z *ZoneAware) utilization(candidates []Candidate) float64 {
 	var busy float64
 	slots := 0
 	for i := range candidates {
 		c := &candidates[i]
 		if c.Route.Zone == z.zone && c.hasRoom() {
-			busy += float64(c.Load.Total()) * c.Busy
+			busy += float64(c.Load.Total()) * c.RequestsPerFlow
 			slots += c.Route.Slots
 		}
 	}
@@ -89,7 +89,7 @@
 
 // least draws candidates of the own zone or of others by a partial shuffle and
 // returns the least loaded, or nil if none has room.
-func (z *Zoned) least(candidates []Candidate, seed uint64, own bool) *Candidate {
+func (z *ZoneAware) least(candidates []Candidate, seed uint64, own bool) *Candidate {
 	z.drawn = z.drawn[:0]
 	for i := range candidates {
 		if (candidates[i].Route.Zone == z.zone) == own && candidates[i].hasRoom() {
--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -44,7 +44,7 @@
 func cookieEngine(n int) (*cookie.Engine, *registry.Catalog) {
 	now := time.Now()
 	e := cookie.NewEngine(cookie.Options{
-		Zone: cookieZone, Policy: upstream.NewZoned(cookieZone, upstream.DefaultChoices), FlowLifetime: time.Minute,
+		Zone: cookieZone, Policy: upstream.NewZoneAware(cookieZone, upstream.DefaultChoices), FlowLifetime: time.Minute,
 	})
 	b := &bundle.Bundle{
 		Services: []bundle.Service{{Name: cookieService, Registered: true, Connections: 2000}},
@@ -143,7 +143,7 @@
 		before := heap()
 		group := peer.NewMembership(peer.Config{}, cookieMember(0), rand.New(rand.NewPCG(1, 2)))
 		for i := range n - 1 {
-			group.Learn(time.Now(), []peer.Member{cookieMember(i + 1)})
+			group.Merge(time.Now(), []peer.Member{cookieMember(i + 1)})
 		}
 		v := group.View()
 		memory.Points = append(memory.Points, Point{float64(n), float64(heap() - before)})
@@ -152,7 +152,7 @@
 		for range rounds {
 			v = group.View()
 			v.ReaderRank()
-			v.Audience(true)
+			v.Recipients(true)
 		}
 		view.Points = append(view.Points, Point{float64(n), float64(time.Since(began).Microseconds()) / rounds})
 		runtime.KeepAlive(v)
@@ -174,15 +174,15 @@
 func cookieBytes() (news, sums Slope) {
 	news = Slope{Name: "news", SizeUnit: "changes", CostUnit: "bytes"}
 	sums = Slope{Name: "sum", SizeUnit: "upstreams", CostUnit: "bytes"}
-	for _, n := range []int{0, 4, peer.MaxNewsChanges} {
-		m := &peer.News{From: peer.IDOf("edge"), Age: time.Second, AsOf: 1 << 20, Digest: 1 << 60, Bundle: 1000}
+	for _, n := range []int{0, 4, peer.MaxAdvertisedChanges} {
+		m := &peer.Advertisement{From: peer.IDOf("edge"), Age: time.Second, AsOf: 1 << 20, Digest: 1 << 60, Bundle: 1000}
 		for i := range n {
 			m.Changes = append(m.Changes, registry.Change{Registration: cookieRegistration(i)})
 		}
-		news.Points = append(news.Points, Point{float64(n), float64(encodedBytes(peer.DomainNews, m))})
+		news.Points = append(news.Points, Point{float64(n), float64(encodedBytes(peer.DomainAdvertisement, m))})
 	}
 	for _, n := range []int{0, 16, peer.MaxLoads} {
-		m := &peer.Report{From: peer.IDOf("edge"), Sum: true, Stamp: 1 << 60}
+		m := &peer.Report{From: peer.IDOf("edge"), IsSum: true, Sequence: 1 << 60}
 		for i := range n {
 			m.Loads = append(m.Loads, peer.Load{Cookie: 1<<31 + uint32(i), Flows: uint32(flowsPerUpstream)})
 		}
@@ -195,7 +195,7 @@
 	*T
 	Check() error
 }](d peer.Domain, m P) int {
-	c, err := peer.NewNumbered[T, P](peer.Keys{Seal: []byte(secret)}, d)
+	c, err := peer.NewSequencedCodec[T, P](peer.Keys{Seal: []byte(secret)}, d)
 	if err != nil {
 		panic(err) // The options are constants.
 	}
--- a/internal/process/capacity/measure.go
+++ b/internal/process/capacity/measure.go
@@ -68,7 +68,7 @@
 		v := viewOf(n)
 		began := time.Now()
 		for i := range timedRounds {
-			v.Home(peer.FlowHash(i * 7919))
+			v.Owner(peer.FlowHash(i * 7919))
 		}
 		s.Points = append(s.Points, Point{float64(n), float64(time.Since(began).Nanoseconds()) / timedRounds})
 	}
@@ -171,7 +171,7 @@
 	s := Slope{Name: "place", SizeUnit: "upstreams of a service", CostUnit: "ns"}
 	for _, n := range sizes {
 		t := bundle.NewRouting(1, bundleOf(1, 1, n), nil)
-		board := upstream.NewBoard()
+		board := upstream.NewLoadTable()
 		candidates := make([]upstream.Candidate, 0, n)
 		for _, u := range t.Upstreams() {
 			candidates = append(candidates, upstream.Candidate{Route: u, Load: board.Load(u.ID)})
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -59,8 +59,8 @@
 	// mu guards what follows.
 	mu      sync.Mutex
 	engine  *cookie.Engine
-	warmers *peer.Warmers
-	reading peer.Reading
+	warmers *peer.WarmupLimiter
+	reading peer.ReaderElection
 	known   knowledge
 	// origin is the daemon whose news were heard last, passed the last news that this
 	// daemon passed on.
@@ -79,12 +79,12 @@
 		known:    knowledge{catalog: registry.NewCatalog()},
 	}
 	c.start = newStartup(c.started, cfg.FirstStart)
-	c.warmers = peer.NewWarmers(peer.IDOf(cfg.Name), c.started.Add(JoinedAfter))
+	c.warmers = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), c.started.Add(JoinedAfter))
 	c.engine = cookie.NewEngine(cookie.Options{
 		Warmer:       c.warmers,
 		Zone:         cfg.Zone,
 		Regions:      cfg.Regions,
-		Policy:       upstream.NewZoned(cfg.Zone, upstream.DefaultChoices),
+		Policy:       upstream.NewZoneAware(cfg.Zone, upstream.DefaultChoices),
 		FlowLifetime: time.Duration(cfg.FlowLifetime),
 		Answered:     func(took time.Duration) { c.answered.Update(took.Seconds()) },
 	})
@@ -103,7 +103,7 @@
 	t.Subscribe(awakePeriod, c.awake)
 	t.Subscribe(memberTick, c.members.tick)
 	t.Subscribe(sweepPeriod, c.sweep)
-	t.Subscribe(peer.EagerPeriod, c.tellEagerly)
+	t.Subscribe(peer.StartupReportPeriod, c.tellEagerly)
 	return stop, nil
 }
 
@@ -194,7 +194,7 @@
 // sweep forgets flows that went and tells the zone what this daemon counts.
 func (c *Carrier) sweep(now time.Time) {
 	c.mu.Lock()
-	c.warmers.See(c.members.view.Load(), now)
+	c.warmers.Update(c.members.view.Load(), now)
 	c.engine.Expire(now)
 	c.mu.Unlock()
 	c.members.tellLoads(now)
@@ -205,7 +205,7 @@
 
 // tellEagerly tells loads more often for a while after the start.
 func (c *Carrier) tellEagerly(now time.Time) {
-	if peer.TellsEagerly(now.Sub(c.started)) {
+	if peer.UsesStartupReportPeriod(now.Sub(c.started)) {
 		c.members.tellLoads(now)
 	}
 }
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -79,7 +79,7 @@
 	}
 	now := time.Now()
 	m.do(func(g *peer.Membership) []peer.Envelope {
-		g.Learn(now, got.Members)
+		g.Merge(now, got.Members)
 		return nil
 	})
 	if len(got.Update) > 0 {
@@ -133,24 +133,24 @@
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.engine.LearnGone(got.Gone, now)
+	c.engine.LearnGone(got.Deregistered, now)
 	if got.AsOf.Epoch() < c.known.epoch {
 		return nil // It is of a store that is no longer.
 	}
 	c.seeEpoch(got.AsOf, "Peer", now)
-	if got.Known {
+	if got.Complete {
 		c.takeEvacuations(got.Evacuated, bundleSource{source: "Peer", age: now.Sub(as)}, now)
 		c.confirmEvacuations(as)
 	}
-	if got.Known && got.Version <= version {
+	if got.Complete && got.Version <= version {
 		c.confirmBundleAt(as, got.BundleAsOf)
 	}
-	if got.AsOf < c.known.catalog.AsOf || !got.Listed && !got.Changed {
+	if got.AsOf < c.known.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
 		return c.takeHeldBack(&got.Held, now)
 	}
-	c.known.catalog.DoubtFor(got.Doubt, now)
+	c.known.catalog.DoubtFor(got.SuspicionPeriod, now)
 	changed := c.changeList(func() bool {
-		if got.Listed {
+		if got.HasRegistrations {
 			return c.known.catalog.Replace(got.Registrations, got.AsOf, now)
 		}
 		return c.known.catalog.Apply(got.Changes, got.AsOf, now)
@@ -162,20 +162,20 @@
 	resets = append(resets, c.takeHeldBack(&got.Held, now)...)
 	// Changes may not have led to the sender's list: entries of the same revision that
 	// only one of the two has. Then the whole list is asked for next.
-	c.known.lacksWholeList = got.Changed && got.Digest != c.known.catalog.Digest()
+	c.known.lacksWholeList = got.HasChanges && got.Digest != c.known.catalog.Digest()
 	if c.known.lacksWholeList {
 		return resets
 	}
 	c.confirmList(as)
-	if got.Known && got.Version <= version {
-		c.reading.Heard(as, false)
+	if got.Complete && got.Version <= version {
+		c.reading.Received(as, false)
 	}
 	return resets
 }
 
 // takeHeldBack takes over what another daemon goes by in place of what the store says. It returns resets for flows that
 // ended by it. c.mu is held.
-func (c *Carrier) takeHeldBack(h *peer.HeldBack, now time.Time) []cookie.Reset {
+func (c *Carrier) takeHeldBack(h *peer.HeldContent, now time.Time) []cookie.Reset {
 	before := c.known.evacuated.Zones()
 	if c.known.evacuated.HoldBack(h.Zones, h.ZonesFor, now) {
 		c.putEvacuations(before, bundleSource{source: "Peer"}, now)
@@ -224,9 +224,9 @@
 	defer m.mu.Unlock()
 	switch {
 	case params.Zone != "":
-		return append(m.group.Introductions(params.Zone, 0), m.group.Self())
+		return append(m.group.BootstrapMembers(params.Zone, 0), m.group.Self())
 	case m.group.Digest() != params.MembersDigest:
-		return m.group.Known()
+		return m.group.Members()
 	}
 	return nil
 }
@@ -246,31 +246,31 @@
 		update = c.known.history.Since(params.Version)
 	}
 	if params.Joining {
-		out.Gone = c.engine.Gone()
+		out.Deregistered = c.engine.Gone()
 	}
 	out.AsOf, out.Digest = c.known.catalog.AsOf, c.known.catalog.Digest()
-	out.Doubt = c.known.catalog.Doubt(now)
+	out.SuspicionPeriod = c.known.catalog.Doubt(now)
 	known := c.known.confirmedAll()
 	if known.IsZero() {
 		return out, update
 	}
-	out.Known, out.Age = true, now.Sub(known)
+	out.Complete, out.Age = true, now.Sub(known)
 	if params.Joining {
 		out.Held.Upstreams, out.Held.UpstreamsFor = c.known.catalog.HeldBack(now)
 		out.Held.Zones, out.Held.ZonesFor = c.known.evacuated.HeldBack(now)
 		out.Changes = c.known.catalog.Remembered()
-		out.Changed = len(out.Changes) > 0
+		out.HasChanges = len(out.Changes) > 0
 	}
 	if params.AsOf == out.AsOf && params.Digest == c.known.catalog.Digest() || params.AsOf > out.AsOf {
 		return out, update
 	}
-	out.Changed = false
+	out.HasChanges = false
 	if !params.Whole {
 		changes, ok := c.known.catalog.Since(params.AsOf)
-		out.Changes, out.Changed = append(out.Changes, changes...), ok
+		out.Changes, out.HasChanges = append(out.Changes, changes...), ok
 	}
-	if !out.Changed {
-		out.Listed = true
+	if !out.HasChanges {
+		out.HasRegistrations = true
 		out.Registrations = c.known.catalog.List()
 	}
 	return out, update
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/carrier/contacts.go
@@ -55,7 +55,7 @@
 
 func (k *contacts) run(ctx context.Context) {
 	pause := lonelyAfter
-	if k.c.start.First {
+	if k.c.start.FirstStart {
 		pause = lonelyAtFirst
 	}
 	for {
@@ -129,7 +129,7 @@
 		k.ping()
 	}
 	v := k.c.members.view.Load()
-	if !v.Outdated(&k.known.Value) {
+	if !v.ContactsOutdated(&k.known.Value) {
 		return
 	}
 	next := v.Contacts(&k.known.Value)
--- a/internal/process/carrier/data_test.go
+++ b/internal/process/carrier/data_test.go
@@ -36,7 +36,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		now := time.Now()
 		c := &Carrier{
-			engine:   cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoned("a", upstream.DefaultChoices)}),
+			engine:   cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoneAware("a", upstream.DefaultChoices)}),
 			start:    newStartup(now, false),
 			pauses:   timer.NewPauses(pauseLimit),
 			logs:     newDecisionLog(1),
--- a/internal/process/carrier/follows_test.go
+++ b/internal/process/carrier/follows_test.go
@@ -18,7 +18,7 @@
 	It("doesn't follow the store, and doesn't begin to when it is told all", func() {
 		now := time.Unix(1_000_000, 0)
 		c := &Carrier{
-			engine: cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoned("a", upstream.DefaultChoices)}),
+			engine: cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoneAware("a", upstream.DefaultChoices)}),
 			start:  newStartup(now, true),
 		}
 		const rank = 9
@@ -28,7 +28,7 @@
 		c.engine.Confirm(told)
 		Expect(c.follows(rank, told.Add(3*time.Second))).To(BeFalse(), "the evacuated zones aren't known")
 		c.known.confirm(kindEvacuations, told)
-		c.reading.Heard(told, false)
+		c.reading.Received(told, false)
 		Expect(c.follows(rank, told)).To(BeFalse())
 		Expect(c.follows(rank, told.Add(3*time.Second))).To(BeTrue(), "nobody tells it more")
 	})
--- a/internal/process/carrier/keys_test.go
+++ b/internal/process/carrier/keys_test.go
@@ -20,9 +20,9 @@
 // sendNews sends a balancer news of one that doesn't exist.
 func sendNews(n *node, k peer.Keys) {
 	GinkgoHelper()
-	forger, err := peer.NewNumbered[peer.News](k, peer.DomainNews)
+	forger, err := peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement)
 	Expect(err).NotTo(HaveOccurred())
-	b, err := forger.Encode(&peer.News{From: 9, Bundle: 1 << 40})
+	b, err := forger.Encode(&peer.Advertisement{From: 9, Bundle: 1 << 40})
 	Expect(err).NotTo(HaveOccurred())
 	conn, err := net.Dial("udp4", n.cfg.ControlAddress.String())
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/process/carrier/loads.go
+++ b/internal/process/carrier/loads.go
@@ -109,11 +109,11 @@
 		}
 	}
 	ownLost, lost := m.c.storeLost(now)
-	sum.Sum, sum.Zones, sum.Stamp, sum.StoreLost = true, m.loads.zones(now), m.stamp.Add(1), lost
+	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.stamp.Add(1), lost
 	m.c.takeLoads(sum, now)
 	send(m, protocolReport, m.reports, sum, v.Children(peer.TreeForward, true))
 	own := &peer.Report{From: v.Self, Zones: m.c.ownZone(), StoreLost: ownLost}
-	send(m, protocolReport, m.reports, own, v.OtherReaders())
+	send(m, protocolReport, m.reports, own, v.OtherZoneReaders())
 }
 
 func (c *Carrier) ownZone() []peer.ZoneLoad {
@@ -125,14 +125,14 @@
 
 func (m *members) heardReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
-	if r.StoreLost && m.c.hearStoreLost(now) && !r.Sum {
+	if r.StoreLost && m.c.hearStoreLost(now) && !r.IsSum {
 		m.tellLoads(now) // Its own zone waits for it.
 	}
 	switch {
-	case r.Found:
+	case r.DeadOnly:
 		m.c.hint(r.Dead, now)
-		m.passOn(r, v.Audience(false), now)
-	case r.Sum:
+		m.passOn(r, v.Recipients(false), now)
+	case r.IsSum:
 		m.c.takeLoads(r, now)
 		m.passOn(r, v.Children(peer.TreeForward, false), now)
 	case len(r.Zones) > 0:
@@ -144,7 +144,7 @@
 
 // passOn sends a report on to this daemon's children, once.
 func (m *members) passOn(r *peer.Report, to []*peer.Member, now time.Time) {
-	if len(to) > 0 && m.passed.first(r.From, r.Stamp, now) {
+	if len(to) > 0 && m.passed.first(r.From, r.Sequence, now) {
 		send(m, protocolReport, m.reports, r, to)
 	}
 }
@@ -171,8 +171,8 @@
 // others have found some by themselves.
 func (m *members) tellFound(ids []bundle.UpstreamID) {
 	v := m.view.Load()
-	r := &peer.Report{From: v.Self, Found: true, Dead: ids[:min(len(ids), peer.MaxDead)], Stamp: m.stamp.Add(1)}
-	send(m, protocolReport, m.reports, r, v.Audience(true))
+	r := &peer.Report{From: v.Self, DeadOnly: true, Dead: ids[:min(len(ids), peer.MaxDead)], Sequence: m.stamp.Add(1)}
+	send(m, protocolReport, m.reports, r, v.Recipients(true))
 }
 
 // hint has upstreams looked at that another daemon found dead.
--- a/internal/process/carrier/members.go
+++ b/internal/process/carrier/members.go
@@ -32,9 +32,9 @@
 	c       *Carrier
 	ctx     context.Context
 	ports   *udpport.Ports
-	swim    *peer.Numbered[peer.Message, *peer.Message]
-	news    *peer.Numbered[peer.News, *peer.News]
-	reports *peer.Numbered[peer.Report, *peer.Report]
+	swim    *peer.SequencedCodec[peer.Message, *peer.Message]
+	news    *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement]
+	reports *peer.SequencedCodec[peer.Report, *peer.Report]
 	catalog *peer.Codec[peer.Catalog, *peer.Catalog]
 	loads   *zoneLoads
 	lines   *memberLog
@@ -145,13 +145,13 @@
 
 func (m *members) newCodecs(k peer.Keys) error {
 	var err error
-	if m.swim, err = peer.NewNumbered[peer.Message](k, peer.DomainNumberedMembership); err != nil {
+	if m.swim, err = peer.NewSequencedCodec[peer.Message](k, peer.DomainSequencedMembership); err != nil {
 		return err
 	}
-	if m.news, err = peer.NewNumbered[peer.News](k, peer.DomainNews); err != nil {
+	if m.news, err = peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement); err != nil {
 		return err
 	}
-	if m.reports, err = peer.NewNumbered[peer.Report](k, peer.DomainReport); err != nil {
+	if m.reports, err = peer.NewSequencedCodec[peer.Report](k, peer.DomainReport); err != nil {
 		return err
 	}
 	m.catalog, err = peer.NewCodec[peer.Catalog](k.Seal, peer.DomainCatalog)
@@ -184,7 +184,7 @@
 			m.do(func(g *peer.Membership) []peer.Envelope { return g.Receive(now, from, msg) })
 		})
 	case protocolNews:
-		err = receive(m.news, body, func(n *peer.News) { m.heardNews(from, n, now) })
+		err = receive(m.news, body, func(n *peer.Advertisement) { m.heardNews(from, n, now) })
 	case protocolReport:
 		err = receive(m.reports, body, func(r *peer.Report) { m.heardReport(r, now) })
 	default:
@@ -200,7 +200,7 @@
 func receive[T any, P interface {
 	*T
 	Check() error
-}](c *peer.Numbered[T, P], b []byte, handle func(P)) error {
+}](c *peer.SequencedCodec[T, P], b []byte, handle func(P)) error {
 	msg, err := c.Decode(b)
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 func send[T any, P interface {
 	*T
 	Check() error
-}](m *members, p protocol, c *peer.Numbered[T, P], msg P, to []*peer.Member) {
+}](m *members, p protocol, c *peer.SequencedCodec[T, P], msg P, to []*peer.Member) {
 	if len(to) == 0 {
 		return
 	}
@@ -346,13 +346,13 @@
 func (m *members) metServing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.group.MetServing()
+	return m.group.ServingMemberSeen()
 }
 
 func (m *members) leave() {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.Leave(time.Now()) })
+	m.do(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeaving(time.Now()) })
 }
 
 func (m *members) left() {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.Left(time.Now()) })
+	m.do(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeft(time.Now()) })
 }
--- a/internal/process/carrier/news.go
+++ b/internal/process/carrier/news.go
@@ -24,7 +24,7 @@
 	reads := m.c.follows(v.ReaderRank(), now)
 	m.c.mu.Unlock()
 	if reads {
-		m.sendNews(v.Self, append(v.Audience(true), v.OtherReaders()...), now)
+		m.sendNews(v.Self, append(v.Recipients(true), v.OtherZoneReaders()...), now)
 	}
 }
 
@@ -32,14 +32,14 @@
 // another zone's told, and in a large zone each member tells its children, once.
 func (m *members) passNews(origin peer.ID, now time.Time) {
 	v := m.view.Load()
-	if v.ZoneReader() {
+	if v.IsZoneReader() {
 		// One of the own zone stands in for this daemon and has told the others.
 		if o := v.Member(origin); o != nil && o.Zone != m.c.cfg.Load().Zone {
-			m.sendNews(v.Self, v.Audience(true), now)
+			m.sendNews(v.Self, v.Recipients(true), now)
 		}
 		return
 	}
-	if to := v.Audience(false); origin != 0 && len(to) > 0 && m.c.passesOn() {
+	if to := v.Recipients(false); origin != 0 && len(to) > 0 && m.c.passesOn() {
 		m.sendNews(origin, to, now)
 	}
 }
@@ -70,15 +70,15 @@
 		c.mu.Unlock()
 		return
 	}
-	n := &peer.News{
-		From:       origin,
-		Age:        now.Sub(as),
-		Doubt:      c.known.catalog.Doubt(now),
-		BundleAsOf: c.known.bundleAsOf,
-		AsOf:       c.known.catalog.AsOf,
-		Digest:     c.known.catalog.Digest(),
-		Changes:    c.known.catalog.Recent(now.Add(-newsSpan), peer.MaxNewsChanges),
-		Evacuated:  peer.Evacuated(&c.known.evacuated.Stored),
+	n := &peer.Advertisement{
+		From:            origin,
+		Age:             now.Sub(as),
+		SuspicionPeriod: c.known.catalog.Doubt(now),
+		BundleAsOf:      c.known.bundleAsOf,
+		AsOf:            c.known.catalog.AsOf,
+		Digest:          c.known.catalog.Digest(),
+		Changes:         c.known.catalog.Recent(now.Add(-newsSpan), peer.MaxAdvertisedChanges),
+		Evacuated:       peer.NewAdvertisedZones(&c.known.evacuated.Stored),
 	}
 	c.mu.Unlock()
 	// Read after the age, so that a version isn't called newer than it is known to be.
@@ -89,7 +89,7 @@
 // heardNews takes in what another daemon read in the store. If that doesn't lead to
 // what the sender knows, everything is fetched from it, and the news don't count as
 // heard.
-func (m *members) heardNews(from netip.AddrPort, n *peer.News, now time.Time) {
+func (m *members) heardNews(from netip.AddrPort, n *peer.Advertisement, now time.Time) {
 	v := m.view.Load()
 	if n.From == v.Self {
 		return // This daemon's own word, which came back while others differ in who is there.
@@ -104,16 +104,16 @@
 	}
 	c.seeEpoch(n.AsOf, "News", now)
 	c.origin = n.From
-	c.known.catalog.DoubtFor(n.Doubt, now)
+	c.known.catalog.DoubtFor(n.SuspicionPeriod, now)
 	var resets []cookie.Reset
 	if c.known.catalog.Hear(n.Changes, n.AsOf, n.Digest, now) {
 		resets = c.follow(now)
 	}
-	if n.Evacuated.Told() {
+	if n.Evacuated.Complete() {
 		c.takeEvacuations(n.Evacuated.Zones, bundleSource{source: "News", name: from.String(), age: n.Age}, now)
 	}
-	lacksBundle, lacksList := n.Lacks(version, c.known.catalog.AsOf, c.known.catalog.Digest())
-	lacksEvacuated := n.Evacuated.Lacks(&c.known.evacuated.Stored)
+	lacksBundle, lacksList := n.MissingFrom(version, c.known.catalog.AsOf, c.known.catalog.Digest())
+	lacksEvacuated := n.Evacuated.MissingFrom(&c.known.evacuated.Stored)
 	if !lacksList {
 		c.confirmList(as)
 	}
@@ -121,7 +121,7 @@
 		c.confirmEvacuations(as)
 	}
 	if !lacksList && !lacksBundle && !lacksEvacuated {
-		c.reading.Heard(as, v.ReadsBefore(n.From))
+		c.reading.Received(as, v.RanksBefore(n.From))
 		c.confirmBundleAt(as, n.BundleAsOf)
 	}
 	c.mu.Unlock()
--- a/internal/process/carrier/start.go
+++ b/internal/process/carrier/start.go
@@ -27,7 +27,7 @@
 // member has started sooner, and tells the same in a third of the bytes. It is safe for
 // concurrent use.
 type startup struct {
-	peer.Start
+	peer.Startup
 	// ready is set when the daemon knows enough to place flows, callersWait when a caller's
 	// packet has come before, listIsLong when the store has a long list, and nobodyLarger when
 	// there is no larger member to be asked for it.
@@ -36,8 +36,8 @@
 
 func newStartup(began time.Time, first bool) *startup {
 	return &startup{
-		Start: peer.Start{Began: began, First: first},
-		ready: newEvent(), callersWait: newEvent(), listIsLong: newEvent(), nobodyLarger: newEvent(),
+		Startup: peer.Startup{StartedAt: began, FirstStart: first},
+		ready:   newEvent(), callersWait: newEvent(), listIsLong: newEvent(), nobodyLarger: newEvent(),
 	}
 }
 
@@ -90,7 +90,7 @@
 			m.ask(tellers[try%len(tellers)])
 			try++
 		}
-		pause := s.AskPause(rand.Float64())
+		pause := s.RequestDelay(rand.Float64())
 		if len(larger) > 0 {
 			pause = hurriedPause
 		}
@@ -114,7 +114,7 @@
 		return
 	}
 	s := m.c.start
-	klog.InfoS("Ready", "After", time.Since(s.Began).Round(time.Millisecond),
+	klog.InfoS("Ready", "After", time.Since(s.StartedAt).Round(time.Millisecond),
 		"CallersWaited", s.callersWait.happened(), "LongList", s.listIsLong.happened(),
 		"StoreCalls", m.c.platform.Store.Counts.Calls.Load(), "MembersAsked", m.pulls.Begun.Load(),
 		"Rank", m.view.Load().ReaderRank(), "Members", len(m.view.Load().Members))
@@ -122,7 +122,7 @@
 
 // ask fetches what another daemon knows, and makes itself known there.
 func (m *members) ask(to netip.AddrPort) {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.Greet(to) })
+	m.do(func(g *peer.Membership) []peer.Envelope { return g.PingAddress(to) })
 	if err := m.fetch(to, tellerAnswer); err != nil {
 		klog.V(1).InfoS("Member didn't tell", "Member", to, "Error", err)
 	}
@@ -130,7 +130,7 @@
 
 // tellers returns where members are asked by a daemon that starts, see peer.View.Tellers.
 func (m *members) tellers() []netip.AddrPort {
-	list := m.view.Load().Tellers()
+	list := m.view.Load().CatalogSources()
 	out := make([]netip.AddrPort, 0, len(list))
 	for _, o := range list {
 		out = append(out, o.RPC)
@@ -145,7 +145,7 @@
 	self := v.Member(v.Self)
 	var out []netip.AddrPort
 	for _, o := range v.ZoneMembers() {
-		if peer.Tells(o.Size, self.Size) {
+		if peer.IsLargerSource(o.Size, self.Size) {
 			out = append(out, o.RPC)
 		}
 	}
@@ -160,7 +160,7 @@
 		klog.InfoS("No contacts in the store", "Error", err.Error())
 		return nil
 	}
-	return o.Value.Larger(self.Zone, self.Size)
+	return o.Value.LargerInZone(self.Zone, self.Size)
 }
 
 // wantsList is asked before a list of upstreams is read from the store, once its size is known.
--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -42,8 +42,8 @@
 	v := c.members.view.Load()
 	rank := v.ReaderRank()
 	if !c.start.ready.happened() {
-		return c.start.Reads(peer.Newcomer{
-			CallersWait: c.start.callersWait.happened(), MetServing: c.members.metServing(),
+		return c.start.ShouldRead(peer.StartupState{
+			CallersWaiting: c.start.callersWait.happened(), ServingMemberSeen: c.members.metServing(),
 			Rank: rank, Others: len(v.Members) - 1,
 		}, now)
 	}
@@ -60,7 +60,7 @@
 	if !c.ready() {
 		return false
 	}
-	return c.reading.Reads(c.start.ReaderRank(rank, now), now)
+	return c.reading.ShouldRead(c.start.ReaderRank(rank, now), now)
 }
 
 func (c *Carrier) listUpstreams(s objects.Snapshot[registry.Registration], now time.Time) {
@@ -75,7 +75,7 @@
 
 // readHere notes that this daemon itself has read the store: it needn't again, unless nobody
 // tells it more in time. c.mu is held.
-func (c *Carrier) readHere() { c.reading.Heard(c.known.confirmedAll(), false) }
+func (c *Carrier) readHere() { c.reading.Received(c.known.confirmedAll(), false) }
 
 // storeFails notes that a call of the store failed. The first time it tells others at once: they
 // hear no news meanwhile, and would turn to the store themselves.
@@ -94,8 +94,8 @@
 func (c *Carrier) hearStoreLost(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.reading.StoreIsLost(now)
-	c.reading.StoreLost(now)
+	known := c.reading.StoreReportedLost(now)
+	c.reading.ReportStoreLost(now)
 	return !known
 }
 
@@ -109,7 +109,7 @@
 		return false, false
 	}
 	own = !c.known.failing.IsZero() && now.Sub(c.known.failing) < failingFor
-	return own, own || c.reading.StoreIsLost(now) || now.Sub(c.known.confirmedAll()) > staleNews
+	return own, own || c.reading.StoreReportedLost(now) || now.Sub(c.known.confirmedAll()) > staleNews
 }
 
 // failingFor is how long a failed call counts: more than the pause to the next one of the first
--- a/internal/process/daemon/control.go
+++ b/internal/process/daemon/control.go
@@ -94,7 +94,7 @@
 		view = c.members.View()
 		old := c.d.engine.View()
 		c.d.engine.SetView(view)
-		c.d.engine.Board.Keep(memberIDs(view))
+		c.d.engine.Board.RetainMembers(memberIDs(view))
 		logChanges(old, view)
 	}
 	c.mu.Unlock()
@@ -144,11 +144,11 @@
 }
 
 func (c *control) leave() {
-	c.do(func(m *peer.Membership) []peer.Envelope { return m.Leave(time.Now()) })
+	c.do(func(m *peer.Membership) []peer.Envelope { return m.AnnounceLeaving(time.Now()) })
 }
 
 func (c *control) left() {
-	c.do(func(m *peer.Membership) []peer.Envelope { return m.Left(time.Now()) })
+	c.do(func(m *peer.Membership) []peer.Envelope { return m.AnnounceLeft(time.Now()) })
 }
 
 // seed looks for members on the platform's list until the daemon ends.
--- a/internal/standin/emulator/fleet.go
+++ b/internal/standin/emulator/fleet.go
@@ -76,8 +76,8 @@
 	ready   bool
 	callers bool
 	group   *peer.Membership
-	start   peer.Start
-	reading peer.Reading
+	start   peer.Startup
+	reading peer.ReaderElection
 	self    peer.Member
 	// view and epoch are the last view of group.
 	view  *peer.View
@@ -161,7 +161,7 @@
 	h.group = peer.NewMembership(peer.Config{
 		ProbePeriod: 2 * peer.DefaultProbePeriod, Updates: peer.MaxUpdates,
 	}, h.self, rand.New(rand.NewPCG(h.w.rng.Uint64(), 1)))
-	h.start = peer.Start{Began: h.w.wall(), First: h.w.f.First}
+	h.start = peer.Startup{StartedAt: h.w.wall(), FirstStart: h.w.f.First}
 	if !h.w.f.First {
 		h.w.after(h.w.jitter(2*h.w.f.CallerAfter), func() { h.callers = true })
 	}
@@ -197,7 +197,7 @@
 	h.work(callWork, func() {
 		for z := range h.w.f.Zones {
 			first := h.w.hosts[z*(h.w.f.Large+h.w.f.Small)]
-			h.send(h.group.Greet(first.self.Control))
+			h.send(h.group.PingAddress(first.self.Control))
 		}
 	})
 }
@@ -231,11 +231,11 @@
 func (h *fleetHost) reads() bool {
 	v := h.look()
 	if !h.ready {
-		return h.start.Reads(peer.Newcomer{
-			CallersWait: h.callers, MetServing: h.group.MetServing(), Rank: v.ReaderRank(), Others: len(v.Members) - 1,
+		return h.start.ShouldRead(peer.StartupState{
+			CallersWaiting: h.callers, ServingMemberSeen: h.group.ServingMemberSeen(), Rank: v.ReaderRank(), Others: len(v.Members) - 1,
 		}, h.w.wall())
 	}
-	return h.reading.Reads(h.start.ReaderRank(v.ReaderRank(), h.w.wall()), h.w.wall())
+	return h.reading.ShouldRead(h.start.ReaderRank(v.ReaderRank(), h.w.wall()), h.w.wall())
 }
 
 // pollSoon polls often until the host is ready.
@@ -269,7 +269,7 @@
 		h.failures++
 		for _, o := range h.w.hosts {
 			if o.on && h.ready {
-				o.reading.StoreLost(h.w.wall())
+				o.reading.ReportStoreLost(h.w.wall())
 			}
 		}
 		h.w.after(pause, func() { h.calling = false })
@@ -329,7 +329,7 @@
 // know notes that the store's content is known as of a time.
 func (h *fleetHost) know(asOf time.Duration) {
 	h.knownAt = max(h.knownAt, asOf)
-	h.reading.Heard(epoch.Add(asOf), false)
+	h.reading.Received(epoch.Add(asOf), false)
 	if !h.ready {
 		h.ready = true
 		h.group.SetBundle(1)
@@ -345,14 +345,14 @@
 	if h.ready {
 		return
 	}
-	h.w.after(h.start.AskPause(h.w.rng.Float64()), h.ask)
-	tellers := h.look().Tellers()
+	h.w.after(h.start.RequestDelay(h.w.rng.Float64()), h.ask)
+	tellers := h.look().CatalogSources()
 	if len(tellers) == 0 {
 		return
 	}
 	to := h.w.at[tellers[h.asks%len(tellers)].RPC]
 	h.asks++
-	h.send(h.group.Greet(to.self.Control))
+	h.send(h.group.PingAddress(to.self.Control))
 	h.work(messageWork, func() {
 		h.w.after(2*fleetWay, func() {
 			if !to.ready || h.w.f.RefuseToTell {
@@ -366,7 +366,7 @@
 
 // told takes in what a member told.
 func (h *fleetHost) told(by *fleetHost) {
-	h.group.Learn(h.w.wall(), append(by.group.Introductions(h.self.Zone, h.self.ID), by.self))
+	h.group.Merge(h.w.wall(), append(by.group.BootstrapMembers(h.self.Zone, h.self.ID), by.self))
 	h.know(by.knownAt)
 }
 
@@ -377,11 +377,11 @@
 	if to == h || !to.ready {
 		return
 	}
-	known := to.group.Known()
+	known := to.group.Members()
 	spent := callWork + time.Duration(len(known))*toldWork
 	to.work(spent, func() {
 		h.work(spent, func() {
-			h.group.Learn(h.w.wall(), known)
+			h.group.Merge(h.w.wall(), known)
 			h.know(to.knownAt)
 		})
 	})
@@ -398,7 +398,7 @@
 		if o == h || !o.on || !o.ready {
 			continue
 		}
-		asOf, before := epoch.Add(h.knownAt), o.look().ReadsBefore(h.self.ID)
+		asOf, before := epoch.Add(h.knownAt), o.look().RanksBefore(h.self.ID)
 		if o.behind() && h.caughtUp {
 			h.w.after(fleetWay, func() { o.beTold(h) })
 		}
@@ -406,7 +406,7 @@
 			continue
 		}
 		o.knownAt = max(o.knownAt, h.knownAt)
-		h.w.after(fleetWay, func() { o.reading.Heard(asOf, before) })
+		h.w.after(fleetWay, func() { o.reading.Received(asOf, before) })
 	}
 }
 
--- a/internal/standin/emulator/host.go
+++ b/internal/standin/emulator/host.go
@@ -279,7 +279,7 @@
 		}
 		reports = append(reports, h.engine.Report(h.id))
 	}
-	if first == nil || eager && !peer.TellsEagerly(w.now-first.booted) {
+	if first == nil || eager && !peer.UsesStartupReportPeriod(w.now-first.booted) {
 		return
 	}
 	sum := peer.SumReports(first.id, reports)
--- a/internal/standin/emulator/play.go
+++ b/internal/standin/emulator/play.go
@@ -177,7 +177,7 @@
 			h.begin()
 		}
 		w.every(w.jitter(loadsPeriod), loadsPeriod, func() { w.exchange(z, false) })
-		w.every(w.jitter(peer.EagerPeriod), peer.EagerPeriod, func() { w.exchange(z, true) })
+		w.every(w.jitter(peer.StartupReportPeriod), peer.StartupReportPeriod, func() { w.exchange(z, true) })
 		z.router.begin()
 	}
 }
--- a/internal/standin/emulator/policy.go
+++ b/internal/standin/emulator/policy.go
@@ -31,12 +31,12 @@
 // Policies returns the policies that can be compared, the product's own first.
 func Policies() []NamedPolicy {
 	zoned := func(choices int) func(bundle.Zone, World) upstream.Policy {
-		return func(z bundle.Zone, _ World) upstream.Policy { return upstream.NewZoned(z, choices) }
+		return func(z bundle.Zone, _ World) upstream.Policy { return upstream.NewZoneAware(z, choices) }
 	}
 	return []NamedPolicy{
 		{Name: "Present", New: zoned(upstream.DefaultChoices)},
 		{Name: "Before", New: func(z bundle.Zone, _ World) upstream.Policy {
-			return &blind{Policy: upstream.NewZoned(z, upstream.DefaultChoices)}
+			return &blind{Policy: upstream.NewZoneAware(z, upstream.DefaultChoices)}
 		}},
 		{Name: "OneChoice", New: zoned(1)},
 		{Name: "LeastOfAll", New: zoned(everyCandidate)},
