--- a/internal/connection/cookie/dead_test.go
+++ b/internal/connection/cookie/dead_test.go
@@ -51,7 +51,7 @@
 			for _, r := range results {
 				now = now.Add(300 * ms)
 				Expect(e.DueProbes(now)).To(HaveLen(1))
-				resets = append(resets, e.Probed(u.Route.ID, r, now, now.Add(ms))...)
+				resets = append(resets, e.ProbeDone(u.Route.ID, r, now, now.Add(ms))...)
 			}
 			if !dead {
 				Expect(resets).To(BeEmpty())
@@ -85,9 +85,9 @@
 		second := now.Add(100 * ms)
 		Expect(e.DueProbes(second)).To(HaveLen(1))
 		Expect(e.DueProbes(now.Add(220*ms))).To(BeEmpty(), "never more than two")
-		Expect(e.Probed(u.Route.ID, cookie.ProbeTimeout, first, now.Add(250*ms))).To(BeEmpty())
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeTimeout, first, now.Add(250*ms))).To(BeEmpty())
 		Expect(e.DueProbes(now.Add(260 * ms))).To(BeEmpty())
-		Expect(e.Probed(u.Route.ID, cookie.ProbeTimeout, second, now.Add(350*ms))).To(HaveLen(1))
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeTimeout, second, now.Add(350*ms))).To(HaveLen(1))
 		Expect(e.Decide(c.request(1), now.Add(350*ms)).Action).To(Equal(cookie.ActionReset))
 	})
 
@@ -97,8 +97,8 @@
 		Expect(e.DueProbes(now)).To(HaveLen(1))
 		second := now.Add(100 * ms)
 		Expect(e.DueProbes(second)).To(HaveLen(1))
-		Expect(e.Probed(u.Route.ID, cookie.ProbeAlive, now, now.Add(240*ms))).To(BeEmpty())
-		Expect(e.Probed(u.Route.ID, cookie.ProbeTimeout, second, now.Add(350*ms))).To(BeEmpty())
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeAlive, now, now.Add(240*ms))).To(BeEmpty())
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeTimeout, second, now.Add(350*ms))).To(BeEmpty())
 		Expect(e.Health(u.Route.ID)).To(Equal(cookie.HealthGood))
 		Expect(id(e.Decide(c.request(1), now.Add(360*ms)))).To(Equal(u.Route.ID))
 	})
@@ -113,7 +113,7 @@
 			sent := now
 			now = now.Add(250 * ms)
 			Expect(id(e.Decide(c.ackPacket(100), now))).To(Equal(u.Route.ID))
-			Expect(e.Probed(u.Route.ID, cookie.ProbeTimeout, sent, now)).To(BeEmpty())
+			Expect(e.ProbeDone(u.Route.ID, cookie.ProbeTimeout, sent, now)).To(BeEmpty())
 		}
 		Expect(e.Health(u.Route.ID)).To(Equal(cookie.HealthGood))
 	})
@@ -151,14 +151,14 @@
 		e := newPatientEngine(registrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		e.Hint(u.Route.ID, start.Add(2*time.Second))
+		e.ReportedDead(u.Route.ID, start.Add(2*time.Second))
 		now := start.Add(2 * time.Second)
 		Expect(e.DueProbes(now)).To(HaveLen(1))
-		e.Probed(u.Route.ID, cookie.ProbeRefused, now, now)
+		e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)
 		Expect(e.Decide(newCaller(2, feedAt).first(0), now).Action).To(Equal(cookie.ActionReset))
 		now = now.Add(1100 * ms)
 		Expect(e.DueProbes(now)).To(HaveLen(1), "dead ones are looked at again")
-		e.Probed(u.Route.ID, cookie.ProbeAlive, now, now)
+		e.ProbeDone(u.Route.ID, cookie.ProbeAlive, now, now)
 		Expect(id(e.Decide(newCaller(3, feedAt).first(0), now))).To(Equal(u.Route.ID))
 	})
 })
@@ -184,12 +184,12 @@
 			setUpstreams(e, others, now)
 		}
 		Expect(e.DueProbes(now)).To(HaveLen(1))
-		Expect(e.Probed(u.Route.ID, cookie.ProbeRefused, now, now)).To(BeEmpty())
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)).To(BeEmpty())
 		Expect(id(e.Decide(c.request(1), now))).To(Equal(u.Route.ID))
 		Expect(e.DueProbes(now.Add(200 * ms))).To(BeEmpty())
 		now = now.Add(300 * ms)
 		Expect(e.DueProbes(now)).To(HaveLen(1))
-		Expect(e.Probed(u.Route.ID, cookie.ProbeRefused, now, now)).To(HaveLen(1))
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)).To(HaveLen(1))
 	},
 		Entry("while the list has it", false),
 		Entry("after it left the list", true),
@@ -207,8 +207,8 @@
 		setUpstreams(e, nil, now)
 		due := e.DueProbes(now)
 		Expect(due).To(HaveLen(1))
-		Expect(due[0].Listed).To(BeFalse())
-		Expect(e.Probed(u.Route.ID, cookie.ProbeAlive, now, now)).To(BeEmpty())
+		Expect(due[0].Registered).To(BeFalse())
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeAlive, now, now)).To(BeEmpty())
 		Expect(id(e.Decide(c.request(5), now))).To(Equal(u.Route.ID))
 		Expect(e.Decide(newCaller(2, feedAt).first(0), now).Action).To(Equal(cookie.ActionReset))
 	})
@@ -224,7 +224,7 @@
 		reused.Service, reused.Address = "sheets", registration(1).Address
 		setUpstreams(e, append(registrations(0), reused), now)
 		e.DueProbes(now)
-		Expect(e.Probed(u.Route.ID, cookie.ProbeOther, now, now)).To(HaveLen(1))
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeOther, now, now)).To(HaveLen(1))
 		v := e.Decide(c.request(5), now)
 		Expect(v.Cause).To(Equal(cookie.CauseGone))
 	})
@@ -233,13 +233,13 @@
 	// crashed one's flows, and their callers wait for three seconds without a word.
 	It("has its flows reset at once by a balancer that started later and was told", func() {
 		e, c, u := crashed()
-		Expect(e.Gone()).To(HaveLen(1))
+		Expect(e.DeregisteredDead()).To(HaveLen(1))
 		later := newPatientEngine(nil)
 		Expect(later.Decide(c.request(1), start).Action).To(Equal(cookie.ActionDrop))
-		later.LearnGone(e.Gone(), start)
+		later.LearnDeregisteredDead(e.DeregisteredDead(), start)
 		later.Decide(c.request(1), start)
 		Expect(later.DueProbes(start)).To(HaveLen(1), "it looks for itself")
-		Expect(later.Probed(u.Route.ID, cookie.ProbeOther, start, start)).To(HaveLen(1))
+		Expect(later.ProbeDone(u.Route.ID, cookie.ProbeOther, start, start)).To(HaveLen(1))
 		Expect(later.Decide(c.request(1), start).Cause).To(Equal(cookie.CauseGone))
 	})
 
@@ -254,7 +254,7 @@
 
 var _ = Describe("What is counted of flows", func() {
 	load := func(e *cookie.Engine, u *cookie.Upstream) (flows, requests int64) {
-		l := e.Board.Load(u.Route.ID)
+		l := e.LoadTable.Load(u.Route.ID)
 		return l.Flows.Load(), l.Requests.Load()
 	}
 
@@ -300,6 +300,6 @@
 	u := c.open(e, start)
 	setUpstreams(e, nil, start)
 	e.DueProbes(start)
-	e.Probed(u.Route.ID, cookie.ProbeRefused, start, start)
+	e.ProbeDone(u.Route.ID, cookie.ProbeRefused, start, start)
 	return e, c, u
 }
--- a/internal/connection/cookie/differential_test.go
+++ b/internal/connection/cookie/differential_test.go
@@ -184,7 +184,7 @@
 	c.write()
 	e := c.any()
 	setUpstreams(e, c.list(), c.now)
-	e.Confirm(c.now)
+	e.ConfirmRegistrations(c.now)
 }
 
 func (c *cluster) restart() {
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -17,15 +17,15 @@
 	Regions map[bundle.Zone]bundle.Region
 	// Policy chooses upstreams for new flows.
 	Policy upstream.Policy
-	// Warmer says what this balancer may send to upstreams that are slow after their start. Without one it sends
+	// WarmupLimiter says what this balancer may send to upstreams that are slow after their start. Without one it sends
 	// nothing to those whose service bounds that.
-	Warmer Warmer
+	WarmupLimiter WarmupLimiter
 	// FlowLifetime is how long the memory of an upstream that went is kept, so that
 	// the callers of its flows are told at once.
 	FlowLifetime time.Duration
-	// Answered is called with the time from a request's first packet to the first
+	// OnAnswered is called with the time from a request's first packet to the first
 	// acknowledgement of its answer. It may be nil.
-	Answered func(took time.Duration)
+	OnAnswered func(took time.Duration)
 }
 
 // Engine decides for each packet. It isn't safe for concurrent use.
@@ -58,7 +58,7 @@
 	evacuated  map[bundle.Zone]time.Time
 	candidates []upstream.Candidate
 	requests   map[string]*Requests
-	Board      *upstream.Board
+	LoadTable  *upstream.Board
 	Counters   Counters
 }
 
@@ -76,8 +76,8 @@
 
 // NewEngine returns an engine without routes and upstreams.
 func NewEngine(o Options) *Engine {
-	if o.Answered == nil {
-		o.Answered = func(time.Duration) {}
+	if o.OnAnswered == nil {
+		o.OnAnswered = func(time.Duration) {}
 	}
 	return &Engine{
 		opts:      o,
@@ -91,7 +91,7 @@
 		zones:     make(map[zoneService]zoneLoad),
 		reaches:   make(map[bundle.Zone]*reach),
 		requests:  make(map[string]*Requests),
-		Board:     upstream.NewBoard(),
+		LoadTable: upstream.NewBoard(),
 	}
 }
 
@@ -179,7 +179,7 @@
 		e.unlisted(r.ID, netip.AddrPort{}, now)
 		return nil
 	case u == nil:
-		u = &Upstream{Cookie: Of(r.ID), load: e.Board.Load(r.ID)}
+		u = &Upstream{Cookie: Of(r.ID), load: e.LoadTable.Load(r.ID)}
 		e.upstreams[r.ID] = u
 	case e.strange(u, r):
 		strange := *r
@@ -218,8 +218,8 @@
 	return e.routing != nil && u.listed && r.Service != u.Route.Service.Name && e.routing.Registered(r.Service) == nil
 }
 
-// Confirm notes that the list was complete at a time.
-func (e *Engine) Confirm(at time.Time) {
+// ConfirmRegistrations notes that the list was complete at a time.
+func (e *Engine) ConfirmRegistrations(at time.Time) {
 	if at.After(e.confirmed) {
 		e.steady.confirmed(at, e.confirmed)
 		e.confirmed = at
--- a/internal/connection/cookie/engine_test.go
+++ b/internal/connection/cookie/engine_test.go
@@ -173,9 +173,9 @@
 		v := e.Decide(c.request(5), start)
 		Expect(v.Action).To(Equal(cookie.ActionDrop))
 		Expect(v.Cause).To(Equal(cookie.CauseUnknownCookie))
-		e.Confirm(start.Add(2 * time.Second))
+		e.ConfirmRegistrations(start.Add(2 * time.Second))
 		Expect(e.Decide(c.request(5), start.Add(2*time.Second)).Action).To(Equal(cookie.ActionDrop))
-		e.Confirm(start.Add(4 * time.Second))
+		e.ConfirmRegistrations(start.Add(4 * time.Second))
 		Expect(e.Decide(c.request(5), start.Add(4*time.Second)).Action).To(Equal(cookie.ActionReset))
 	})
 
@@ -237,6 +237,6 @@
 			now = now.Add(2 * time.Minute)
 			e.Expire(now)
 		}
-		Expect(e.Board.Len()).To(BeNumerically("<=", 2*perRound))
+		Expect(e.LoadTable.Len()).To(BeNumerically("<=", 2*perRound))
 	})
 })
--- a/internal/connection/cookie/evacuation.go
+++ b/internal/connection/cookie/evacuation.go
@@ -6,10 +6,10 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Evacuate says which zones are evacuated, in place of those before. No new flow enters them by any
+// SetEvacuatedZones says which zones are evacuated, in place of those before. No new flow enters them by any
 // way, not for want of another upstream either: what can't be placed elsewhere is refused at once. Open
 // flows stay.
-func (e *Engine) Evacuate(zones []bundle.Zone, now time.Time) {
+func (e *Engine) SetEvacuatedZones(zones []bundle.Zone, now time.Time) {
 	next := make(map[bundle.Zone]time.Time, len(zones))
 	for _, z := range zones {
 		next[z] = now
--- a/internal/connection/cookie/evacuation_test.go
+++ b/internal/connection/cookie/evacuation_test.go
@@ -23,7 +23,7 @@
 var _ = Describe("A zone that is evacuated", func() {
 	It("gets no new flow, though the others are crowded", func() {
 		e, _ := twoZones()
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		for n := range 200 {
 			c := newCaller(n, feedAt)
 			Expect(c.open(e, start).Route.Zone).To(Equal(otherZone))
@@ -36,7 +36,7 @@
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		Expect(u.Route.Zone).To(Equal(ownZone))
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		Expect(e.Decide(c.request(10), start.Add(time.Second)).Upstream).To(Equal(u))
 		Expect(e.FlowsIn(ownZone)).To(Equal(1))
 		Expect(e.FlowsIn(otherZone)).To(Equal(0))
@@ -44,7 +44,7 @@
 
 	It("keeps flows that another balancer opened", func() {
 		e, list := twoZones()
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		c := newCaller(1, feedAt)
 		c.cookie = cookie.Of(list[0].ID)
 		Expect(id(e.Decide(c.request(10), start))).To(Equal(list[0].ID))
@@ -54,7 +54,7 @@
 		e, _ := twoZones()
 		c := newCaller(1, feedAt)
 		Expect(e.Decide(c.first(0), start).Upstream.Route.Zone).To(Equal(ownZone))
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		v := e.Decide(c.first(1), start.Add(200*ms))
 		Expect(v.Action).To(Equal(cookie.ActionForward))
 		Expect(v.Upstream.Route.Zone).To(Equal(otherZone))
@@ -64,21 +64,21 @@
 		e, _ := twoZones()
 		c := newCaller(1, feedAt)
 		e.Decide(c.first(0), start)
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		Expect(e.Decide(c.first(0), start).Upstream.Route.Zone).To(Equal(otherZone))
 		opened := newCaller(2, feedAt)
 		opened.open(e, start)
-		e.Evacuate([]bundle.Zone{ownZone, otherZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone, otherZone}, start)
 		Expect(e.Decide(opened.first(0), start).Action).To(Equal(cookie.ActionDrop))
 	})
 
 	It("gets nothing when the other zone's upstreams are thought dead", func() {
 		e, list := twoZones()
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		c := newCaller(1, feedAt)
 		c.open(e, start)
 		for _, r := range list[2:] {
-			e.Probed(r.ID, cookie.ProbeRefused, start, start)
+			e.ProbeDone(r.ID, cookie.ProbeRefused, start, start)
 		}
 		v := e.Decide(newCaller(2, feedAt).first(0), start)
 		Expect(v.Action).To(Equal(cookie.ActionReset))
@@ -95,7 +95,7 @@
 			e.Decide(c.request(10), start)
 		}
 		room(e, start)
-		e.Evacuate([]bundle.Zone{otherZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start)
 		Expect(e.Decide(newCaller(1, feedAt).first(0), start).Upstream.Route.Zone).To(Equal(ownZone))
 	})
 
@@ -103,11 +103,11 @@
 		e, _ := twoZones()
 		waiting := newCaller(1, feedAt)
 		e.Decide(waiting.first(0), start)
-		e.Evacuate([]bundle.Zone{ownZone, otherZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone, otherZone}, start)
 		Expect(e.Decide(waiting.first(1), start.Add(200*ms)).Action).To(Equal(cookie.ActionReset))
 		Expect(e.Decide(newCaller(2, feedAt).first(0), start).Action).To(Equal(cookie.ActionReset))
 		// One is taken back while the other stays.
-		e.Evacuate([]bundle.Zone{otherZone}, start.Add(time.Second))
+		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start.Add(time.Second))
 		Expect(e.Decide(newCaller(3, feedAt).first(0), start.Add(time.Second)).Upstream.Route.Zone).To(Equal(ownZone))
 		Expect(e.EvacuatedSince(otherZone)).To(Equal(start), "it didn't begin anew")
 		Expect(e.EvacuatedSince(ownZone).IsZero()).To(BeTrue())
@@ -115,7 +115,7 @@
 
 	It("gets upstreams that start or start again there, and they no flow", func() {
 		e, list := twoZones()
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		more := registration(9)
 		list[0].Born, list[0].Revision = 99, list[0].Revision+1
 		setUpstreams(e, append(list, more), start)
@@ -126,17 +126,17 @@
 
 	It("isn't told as one with room", func() {
 		e, _ := twoZones()
-		Expect(e.OwnZone()).NotTo(BeEmpty())
-		e.Evacuate([]bundle.Zone{ownZone}, start)
-		Expect(e.OwnZone()).To(BeEmpty())
+		Expect(e.OwnZoneLoads()).NotTo(BeEmpty())
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
+		Expect(e.OwnZoneLoads()).To(BeEmpty())
 	})
 
 	It("has no upstream that is connected to as a reference", func() {
 		e, list := twoZones()
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		e.Evacuate([]bundle.Zone{otherZone}, start)
-		e.Hint(u.Route.ID, start.Add(2*time.Second))
+		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start)
+		e.ReportedDead(u.Route.ID, start.Add(2*time.Second))
 		due := e.DueProbes(start.Add(2 * time.Second))
 		Expect(due).To(HaveLen(1))
 		Expect(due[0].Reference).To(BeNil(), "its own zone is silent: of %d upstreams none is left", len(list))
@@ -148,9 +148,9 @@
 		e, list := twoZones()
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		e.Evacuate([]bundle.Zone{ownZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		for _, r := range list[:2] {
-			e.Hint(r.ID, start.Add(2*time.Second))
+			e.ReportedDead(r.ID, start.Add(2*time.Second))
 		}
 		due := e.DueProbes(start.Add(2 * time.Second))
 		Expect(due).To(HaveLen(1))
--- a/internal/connection/cookie/grey.go
+++ b/internal/connection/cookie/grey.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Loads returns what this balancer counts at the listed upstreams where there is
+// UpstreamLoads returns what this balancer counts at the listed upstreams where there is
 // anything to count.
-func (e *Engine) Loads() []peer.Load {
+func (e *Engine) UpstreamLoads() []peer.Load {
 	var out []peer.Load
 	for _, u := range e.upstreams {
 		o := &u.outcomes
@@ -91,10 +91,10 @@
 	return out
 }
 
-// Judge takes in how requests ended over the whole zone, by upstream and by service, and
+// EjectFailing takes in how requests ended over the whole zone, by upstream and by service, and
 // leaves out the upstreams that fail too many, within ejectShare of those of their
 // service in the zone. One balancer alone sees too few requests of each upstream.
-func (e *Engine) Judge(list []peer.Load, services []peer.ServiceLoad, now time.Time) []bundle.UpstreamID {
+func (e *Engine) EjectFailing(list []peer.Load, services []peer.ServiceLoad, now time.Time) []bundle.UpstreamID {
 	all := make(map[string]peer.ServiceLoad, len(services))
 	for _, s := range services {
 		all[s.Service] = s
--- a/internal/connection/cookie/grey_test.go
+++ b/internal/connection/cookie/grey_test.go
@@ -45,7 +45,7 @@
 	It("gets no new flows for a while, and then again", func() {
 		e := newEngine(registrations(6))
 		now := fail(e, start, isBad)
-		Expect(e.Judge(e.Loads(), e.Services(), now)).To(Equal([]bundle.UpstreamID{bad}))
+		Expect(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now)).To(Equal([]bundle.UpstreamID{bad}))
 		Expect(placed(e, now)).NotTo(HaveKey(bad))
 		now = now.Add(2 * time.Second)
 		Expect(placed(e, now)).To(HaveKey(bad))
@@ -61,7 +61,7 @@
 			c = newCaller(n, feedAt)
 		}
 		now := fail(e, start, isBad)
-		Expect(e.Judge(e.Loads(), e.Services(), now)).To(HaveLen(1))
+		Expect(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now)).To(HaveLen(1))
 		Expect(id(e.Decide(c.request(5), now))).To(Equal(bad))
 	})
 
@@ -70,21 +70,21 @@
 	It("isn't left out if most others fail too", func() {
 		e := newEngine(registrations(6))
 		now := fail(e, start, func(bundle.UpstreamID) bool { return true })
-		Expect(len(e.Judge(e.Loads(), e.Services(), now))).To(BeNumerically("<=", 1))
+		Expect(len(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now))).To(BeNumerically("<=", 1))
 		Expect(len(placed(e, now))).To(BeNumerically(">=", 5))
 	})
 
 	It("takes flows if it is the last one", func() {
 		e := newEngine(registrations(1))
 		now := fail(e, start, isBad)
-		Expect(e.Judge(e.Loads(), e.Services(), now)).To(BeEmpty())
+		Expect(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now)).To(BeEmpty())
 		Expect(placed(e, now)).To(HaveKey(bad))
 	})
 
 	It("isn't left out for a few failures or for a small share", func() {
 		e := newEngine(registrations(6))
 		judge := func(failed, answered uint32) []bundle.UpstreamID {
-			return e.Judge(
+			return e.EjectFailing(
 				[]peer.Load{{Cookie: uint32(cookie.Of(bad)), Failed: failed, Answered: answered}},
 				[]peer.ServiceLoad{{Service: "feed", Failed: failed, Answered: answered + 500}}, start)
 		}
@@ -103,6 +103,6 @@
 			moved++
 			return moved%2 == 0
 		})
-		Expect(e.Judge(e.Loads(), e.Services(), now)).To(BeEmpty())
+		Expect(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now)).To(BeEmpty())
 	})
 })
--- a/internal/connection/cookie/load.go
+++ b/internal/connection/cookie/load.go
@@ -37,8 +37,8 @@
 // zone that is cut off is silent, and nothing spills there.
 const zoneLoadFor = 1100 * time.Millisecond
 
-// Services returns what this balancer counts of each service.
-func (e *Engine) Services() []peer.ServiceLoad {
+// ServiceLoads returns what this balancer counts of each service.
+func (e *Engine) ServiceLoads() []peer.ServiceLoad {
 	var out []peer.ServiceLoad
 	for name, list := range e.table.byService {
 		s := peer.ServiceLoad{Service: name}
@@ -55,10 +55,10 @@
 	return out
 }
 
-// Sample takes in what the whole zone counts of each service, as often as loads are
+// SampleServiceLoads takes in what the whole zone counts of each service, as often as loads are
 // told. One balancer's flows would say too little: with fifty of them, the requests
 // in progress vary by a half from sample to sample.
-func (e *Engine) Sample(list []peer.ServiceLoad) {
+func (e *Engine) SampleServiceLoads(list []peer.ServiceLoad) {
 	for _, s := range list {
 		if s.Flows < busyLeast {
 			continue
@@ -69,11 +69,11 @@
 	}
 }
 
-// Busy returns how many requests are in progress for each flow of a service.
-func (e *Engine) Busy(service string) float64 { return e.busy[service].perFlow }
+// RequestsPerFlow returns how many requests are in progress for each flow of a service.
+func (e *Engine) RequestsPerFlow(service string) float64 { return e.busy[service].perFlow }
 
-// SetZones takes in the loads of other zones.
-func (e *Engine) SetZones(list []peer.ZoneLoad, now time.Time) {
+// SetZoneLoads takes in the loads of other zones.
+func (e *Engine) SetZoneLoads(list []peer.ZoneLoad, now time.Time) {
 	for i := range list {
 		l := &list[i]
 		if l.Zone == e.opts.Zone || l.Slots == 0 {
@@ -106,9 +106,9 @@
 	return l.perSlot
 }
 
-// OwnZone returns the loads of the balancer's own zone: what all its members count
+// OwnZoneLoads returns the loads of the balancer's own zone: what all its members count
 // at the upstreams that take flows.
-func (e *Engine) OwnZone() []peer.ZoneLoad {
+func (e *Engine) OwnZoneLoads() []peer.ZoneLoad {
 	var out []peer.ZoneLoad
 	for name, list := range e.table.byService {
 		z := peer.ZoneLoad{Zone: e.opts.Zone, Service: name}
--- a/internal/connection/cookie/region_test.go
+++ b/internal/connection/cookie/region_test.go
@@ -38,7 +38,7 @@
 
 	It("refuses what can't be served there at once", func() {
 		e := boundEngine("south")
-		e.Evacuate([]bundle.Zone{otherZone}, start)
+		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start)
 		v := e.Decide(newCaller(1, feedAt).first(0), start)
 		Expect(v.Action).To(Equal(cookie.ActionReset))
 		Expect(v.Cause).To(Equal(cookie.CauseNoUpstream))
--- a/internal/connection/cookie/report.go
+++ b/internal/connection/cookie/report.go
@@ -8,43 +8,43 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// zoneMember is the member under which Board keeps what the rest of the zone counts.
+// zoneMember is the member under which LoadTable keeps what the rest of the zone counts.
 const zoneMember upstream.MemberID = 1
 
 // Report returns what this balancer counts, for the sum of its zone.
 func (e *Engine) Report(self peer.ID) *peer.Report {
-	dead, services := e.Dead(), e.Services()
+	dead, services := e.DeadUpstreams(), e.ServiceLoads()
 	return &peer.Report{
 		From:     self,
-		Loads:    peer.TopLoads(e.Loads()),
+		Loads:    peer.TopLoads(e.UpstreamLoads()),
 		Dead:     dead[:min(len(dead), peer.MaxDead)],
 		Services: services[:min(len(services), peer.MaxServices)],
 	}
 }
 
-// TakeSum takes in what all balancers of the zone count: what is more than this one's own
+// ApplyZoneReport takes in what all balancers of the zone count: what is more than this one's own
 // flows is with the others. Many balancers that each see few flows spread them evenly by it, and find room in a
 // burst of their zone. It returns the upstreams that get no new flows from now on, since
 // too many of their requests fail.
-func (e *Engine) TakeSum(r *peer.Report, now time.Time) []bundle.UpstreamID {
+func (e *Engine) ApplyZoneReport(r *peer.Report, now time.Time) []bundle.UpstreamID {
 	ids := make([]bundle.UpstreamID, 0, len(r.Loads))
 	flows := make([]uint32, 0, len(r.Loads))
 	for _, l := range r.Loads {
-		id, ok := e.Named(Cookie(l.Cookie))
+		id, ok := e.UpstreamByCookie(Cookie(l.Cookie))
 		if !ok {
 			continue // It isn't known here yet, or any more.
 		}
-		others := int64(l.Flows) - e.Board.Load(id).Flows.Load()
+		others := int64(l.Flows) - e.LoadTable.Load(id).Flows.Load()
 		ids = append(ids, id)
 		flows = append(flows, uint32(max(0, others)))
 	}
-	e.SetZones(r.Zones, now)
-	e.Sample(r.Services)
-	ejected := e.Judge(r.Loads, r.Services, now)
-	e.Board.Keep(nil)
-	e.Board.Heard(zoneMember, ids, flows)
+	e.SetZoneLoads(r.Zones, now)
+	e.SampleServiceLoads(r.Services)
+	ejected := e.EjectFailing(r.Loads, r.Services, now)
+	e.LoadTable.Keep(nil)
+	e.LoadTable.Heard(zoneMember, ids, flows)
 	for _, id := range r.Dead {
-		e.Hint(id, now)
+		e.ReportedDead(id, now)
 	}
 	return ejected
 }
--- a/internal/connection/cookie/requests.go
+++ b/internal/connection/cookie/requests.go
@@ -45,7 +45,7 @@
 	}
 	f.overdue = false
 	e.tookUsually(f.up.Route.Service.Name, took)
-	e.opts.Answered(took)
+	e.opts.OnAnswered(took)
 }
 
 // lost counts a request in progress whose flow ends.
--- a/internal/connection/cookie/restart.go
+++ b/internal/connection/cookie/restart.go
@@ -74,8 +74,8 @@
 			out = append(out, e.end(k, f, CauseRestarted))
 		}
 	}
-	e.Board.Forget(r.ID)
-	u.load = e.Board.Load(r.ID)
+	e.LoadTable.Forget(r.ID)
+	u.load = e.LoadTable.Load(r.ID)
 	u.renew(now)
 	return out
 }
--- a/internal/connection/cookie/restart_test.go
+++ b/internal/connection/cookie/restart_test.go
@@ -36,7 +36,7 @@
 // steady confirms the list each half second.
 func steady(e *cookie.Engine, from, to time.Time) {
 	for at := from; !at.After(to); at = at.Add(500 * ms) {
-		e.Confirm(at)
+		e.ConfirmRegistrations(at)
 	}
 }
 
@@ -136,9 +136,9 @@
 		e := newEngine(bornRegistrations(1))
 		u := newCaller(1, feedAt).open(e, start)
 		now := start.Add(2 * time.Second)
-		e.Hint(u.Route.ID, now)
+		e.ReportedDead(u.Route.ID, now)
 		Expect(e.DueProbes(now)).To(HaveLen(1))
-		e.Probed(u.Route.ID, cookie.ProbeRefused, now, now)
+		e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)
 		Expect(e.Decide(newCaller(2, feedAt).first(0), now).Action).To(Equal(cookie.ActionReset))
 		update(e, again(u.Entry()), now)
 		Expect(id(e.Decide(newCaller(3, feedAt).first(0), now))).To(Equal(u.Route.ID))
@@ -150,7 +150,7 @@
 		r := list[0]
 		failing := peer.Load{Cookie: uint32(cookie.Of(r.ID)), Flows: 9, Answered: 1, Failed: 9}
 		all := peer.ServiceLoad{Service: "feed", Flows: 40, Answered: 99, Failed: 9}
-		Expect(e.Judge([]peer.Load{failing}, []peer.ServiceLoad{all}, start)).To(ConsistOf(r.ID))
+		Expect(e.EjectFailing([]peer.Load{failing}, []peer.ServiceLoad{all}, start)).To(ConsistOf(r.ID))
 		update(e, again(r), start)
 		gets := false
 		for n := range 100 {
@@ -165,15 +165,15 @@
 		e := newEngine(bornRegistrations(1))
 		u := newCaller(1, feedAt).open(e, start)
 		sent := start.Add(2 * time.Second)
-		e.Hint(u.Route.ID, sent)
+		e.ReportedDead(u.Route.ID, sent)
 		Expect(e.DueProbes(sent)).To(HaveLen(1))
 		now := sent.Add(10 * ms)
 		update(e, again(u.Entry()), now)
 		c := newCaller(2, feedAt)
 		c.open(e, now.Add(ms))
-		Expect(e.Probed(u.Route.ID, cookie.ProbeRefused, sent, now.Add(20*ms))).To(BeEmpty())
+		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeRefused, sent, now.Add(20*ms))).To(BeEmpty())
 		Expect(id(e.Decide(c.request(5), now.Add(30*ms)))).To(Equal(u.Route.ID))
-		e.Hint(u.Route.ID, now.Add(2*time.Second))
+		e.ReportedDead(u.Route.ID, now.Add(2*time.Second))
 		Expect(e.DueProbes(now.Add(2*time.Second))).To(HaveLen(1), "the former probe hinders no later one")
 	})
 
@@ -190,10 +190,10 @@
 			}
 		}
 		Expect(len(clients)).To(BeNumerically(">", 5))
-		load := func() int64 { return e.Board.Load(list[0].ID).Total() }
+		load := func() int64 { return e.LoadTable.Load(list[0].ID).Total() }
 		Expect(load()).To(BeNumerically(">", 5))
 		others := []bundle.UpstreamID{list[0].ID}
-		e.Board.Heard(1, others, []uint32{7})
+		e.LoadTable.Heard(1, others, []uint32{7})
 		now := start.Add(time.Second)
 		update(e, again(list[0]), now)
 		Expect(load()).To(BeZero(), "neither by what other balancers told of the former one")
@@ -201,7 +201,7 @@
 			e.Decide(c.request(5), now)
 		}
 		Expect(load()).To(BeZero(), "what callers send to the former one")
-		Expect(e.Board.Load(list[0].ID).Requests.Load()).To(BeZero())
+		Expect(e.LoadTable.Load(list[0].ID).Requests.Load()).To(BeZero())
 		e.Decide(clients[0].ackPacket(10), now)
 		Expect(load()).To(BeEquivalentTo(1), "it answers this one, so it holds it")
 	})
@@ -330,7 +330,7 @@
 		c := newCaller(1, feedAt)
 		c.cookie = cookie.Of(r.ID)
 		for _, at := range []time.Duration{0, 4 * time.Second, 8 * time.Second} {
-			e.Confirm(start.Add(at))
+			e.ConfirmRegistrations(start.Add(at))
 			v := e.Decide(c.request(5), start.Add(at))
 			Expect(v.Action).To(Equal(cookie.ActionDrop))
 		}
--- a/internal/connection/cookie/silence.go
+++ b/internal/connection/cookie/silence.go
@@ -84,9 +84,9 @@
 	return Probe{Upstream: r, Check: true}, true
 }
 
-// Checked takes in whether the upstream of a Probe that was a check accepted a connection quickly. If it did, the host
+// CheckDone takes in whether the upstream of a Probe that was a check accepted a connection quickly. If it did, the host
 // is well, and those that left packets unanswered are doubted.
-func (e *Engine) Checked(accepted bool, now time.Time) {
+func (e *Engine) CheckDone(accepted bool, now time.Time) {
 	list := e.unsure
 	e.unsure = nil
 	if !accepted {
@@ -101,7 +101,7 @@
 	}
 }
 
-// Unaccepted takes in that a probe which was sent at a time isn't accepted yet, though its reference was at once. It
+// ProbePending takes in that a probe which was sent at a time isn't accepted yet, though its reference was at once. It
 // returns the upstreams that are found dead by it, and resets for their flows.
 //
 // An upstream is dead by two connections in a row that it leaves open: one may be lost on the way, and the
@@ -114,7 +114,7 @@
 //
 // Upstreams that left the list don't count: a rolling replacement ends several of them together, and whoever
 // drains closes its port before it ends its flows.
-func (e *Engine) Unaccepted(id bundle.UpstreamID, sent, now time.Time) ([]bundle.UpstreamID, []Reset) {
+func (e *Engine) ProbePending(id bundle.UpstreamID, sent, now time.Time) ([]bundle.UpstreamID, []Reset) {
 	u := e.upstreams[id]
 	if u == nil || sent.Before(u.since) || u.health == HealthDead || u.heard.After(sent) {
 		return nil, nil
--- a/internal/connection/cookie/silence_test.go
+++ b/internal/connection/cookie/silence_test.go
@@ -52,7 +52,7 @@
 	Expect(due).To(HaveLen(1), "nobody is doubted before")
 	Expect(due[0].Check).To(BeTrue())
 	Expect(due[0].Upstream.Zone).To(Equal(otherZone))
-	z.Checked(accepted, z.now)
+	z.CheckDone(accepted, z.now)
 }
 
 // All upstreams of a zone lose power at once. A host of that zone hears nobody any more, as if its own link were full;
@@ -119,7 +119,7 @@
 		now := sent.Add(60 * ms)
 		ended := make(map[bundle.UpstreamID]bool)
 		for i, p := range due {
-			found, resets := z.Unaccepted(p.Upstream.ID, sent, now)
+			found, resets := z.ProbePending(p.Upstream.ID, sent, now)
 			Expect(found).To(HaveLen([]int{0, 0, 3}[i]))
 			for _, r := range resets {
 				ended[r.Upstream.ID] = true
@@ -128,7 +128,7 @@
 		Expect(ended).To(HaveLen(3), "their callers are told")
 		next := z.DueProbes(now)
 		Expect(next).To(HaveLen(1), "the fourth has a caller too")
-		found, _ := z.Unaccepted(next[0].Upstream.ID, now, now.Add(60*ms))
+		found, _ := z.ProbePending(next[0].Upstream.ID, now, now.Add(60*ms))
 		Expect(found).To(HaveLen(1), "it is no exception")
 	})
 
@@ -137,7 +137,7 @@
 		due, sent := probed(z), z.now
 		z.Decide(z.callers[0].ackPacket(10), sent.Add(10*ms))
 		for _, p := range due {
-			found, resets := z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
+			found, resets := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 			Expect(resets).To(BeEmpty(), "a live flow would break")
 		}
@@ -146,9 +146,9 @@
 	It("aren't dead by it if one of them accepts a probe meanwhile", func() {
 		z := newSilentZone()
 		due, sent := probed(z), z.now
-		z.Probed(due[0].Upstream.ID, cookie.ProbeAlive, sent, sent.Add(10*ms))
+		z.ProbeDone(due[0].Upstream.ID, cookie.ProbeAlive, sent, sent.Add(10*ms))
 		for _, p := range due[1:] {
-			found, _ := z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
+			found, _ := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 		}
 	})
@@ -171,7 +171,7 @@
 		z.Decide(c.request(10), sent)
 		z.Decide(c.ackPacket(10), sent.Add(10*ms))
 		for _, p := range due {
-			found, _ := z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
+			found, _ := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 		}
 	})
@@ -179,11 +179,11 @@
 	It("aren't dead by it if another of their zone accepts a probe meanwhile", func() {
 		z := newSilentZone()
 		due, sent := probed(z), z.now
-		z.Hint(fourth(due), sent)
+		z.ReportedDead(fourth(due), sent)
 		Expect(z.DueProbes(sent)).To(HaveLen(1))
-		z.Probed(fourth(due), cookie.ProbeAlive, sent, sent.Add(10*ms))
+		z.ProbeDone(fourth(due), cookie.ProbeAlive, sent, sent.Add(10*ms))
 		for _, p := range due {
-			found, _ := z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
+			found, _ := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 		}
 	})
@@ -192,10 +192,10 @@
 		z := newSilentZone()
 		due, sent := probed(z), z.now
 		for _, p := range due[:2] {
-			z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
-			z.Probed(p.Upstream.ID, cookie.ProbeUnsure, sent, sent.Add(250*ms))
+			z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
+			z.ProbeDone(p.Upstream.ID, cookie.ProbeUnsure, sent, sent.Add(250*ms))
 		}
-		found, _ := z.Unaccepted(due[2].Upstream.ID, sent, sent.Add(260*ms))
+		found, _ := z.ProbePending(due[2].Upstream.ID, sent, sent.Add(260*ms))
 		Expect(found).To(BeEmpty())
 	})
 
@@ -212,7 +212,7 @@
 		setUpstreams(z.Engine, left, sent)
 		z.DueProbes(sent)
 		for _, p := range due {
-			found, resets := z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
+			found, resets := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 			Expect(resets).To(BeEmpty())
 		}
@@ -222,7 +222,7 @@
 		z := newSilentZone()
 		due, sent := probed(z), z.now
 		for _, p := range due[:2] {
-			found, _ := z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
+			found, _ := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 		}
 	})
@@ -237,7 +237,7 @@
 		}
 		setUpstreams(z.Engine, again, sent.Add(10*ms))
 		for _, p := range due {
-			found, _ := z.Unaccepted(p.Upstream.ID, sent, sent.Add(60*ms))
+			found, _ := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 		}
 	})
@@ -250,11 +250,11 @@
 		e := newPatientEngine(registrations(3))
 		c, u, now := doubted(e)
 		Expect(e.DueProbes(now)).To(HaveLen(1))
-		found, _ := e.Unaccepted(u.Route.ID, now, now.Add(60*ms))
+		found, _ := e.ProbePending(u.Route.ID, now, now.Add(60*ms))
 		Expect(found).To(BeEmpty())
 		second := now.Add(60 * ms)
 		Expect(e.DueProbes(second)).To(HaveLen(1))
-		found, resets := e.Unaccepted(u.Route.ID, second, second.Add(60*ms))
+		found, resets := e.ProbePending(u.Route.ID, second, second.Add(60*ms))
 		Expect(found).To(Equal([]bundle.UpstreamID{u.Route.ID}))
 		Expect(resets).To(HaveLen(1))
 		Expect(e.Decide(c.request(1), second.Add(60*ms)).Action).To(Equal(cookie.ActionReset))
@@ -264,11 +264,11 @@
 		e := newPatientEngine(registrations(3))
 		c, u, now := doubted(e)
 		e.DueProbes(now)
-		e.Unaccepted(u.Route.ID, now, now.Add(60*ms))
+		e.ProbePending(u.Route.ID, now, now.Add(60*ms))
 		second := now.Add(60 * ms)
 		e.DueProbes(second)
 		e.Decide(c.ackPacket(10), second.Add(10*ms))
-		found, _ := e.Unaccepted(u.Route.ID, second, second.Add(60*ms))
+		found, _ := e.ProbePending(u.Route.ID, second, second.Add(60*ms))
 		Expect(found).To(BeEmpty())
 		Expect(e.Health(u.Route.ID)).To(Equal(cookie.HealthGood))
 	})
@@ -280,7 +280,7 @@
 		setUpstreams(e, slices.DeleteFunc(list, func(r registry.Registration) bool { return r.ID == u.Route.ID }), now)
 		for range 3 {
 			e.DueProbes(now)
-			found, _ := e.Unaccepted(u.Route.ID, now, now.Add(60*ms))
+			found, _ := e.ProbePending(u.Route.ID, now, now.Add(60*ms))
 			Expect(found).To(BeEmpty())
 			now = now.Add(60 * ms)
 		}
@@ -300,10 +300,10 @@
 			}
 		}
 		setUpstreams(e, list, now.Add(10*ms))
-		e.Hint(u.Route.ID, now.Add(2*time.Second))
+		e.ReportedDead(u.Route.ID, now.Add(2*time.Second))
 		e.DueProbes(now.Add(2 * time.Second))
 		for range 2 {
-			found, _ := e.Unaccepted(u.Route.ID, now, now.Add(2*time.Second))
+			found, _ := e.ProbePending(u.Route.ID, now, now.Add(2*time.Second))
 			Expect(found).To(BeEmpty())
 		}
 	})
@@ -320,7 +320,7 @@
 		setUpstreams(e, list, now)
 		for range 3 {
 			e.DueProbes(now)
-			found, _ := e.Unaccepted(u.Route.ID, now, now.Add(60*ms))
+			found, _ := e.ProbePending(u.Route.ID, now, now.Add(60*ms))
 			Expect(found).To(BeEmpty())
 			now = now.Add(60 * ms)
 		}
--- a/internal/connection/cookie/spill_test.go
+++ b/internal/connection/cookie/spill_test.go
@@ -31,7 +31,7 @@
 
 // room tells an engine that the other zone has room.
 func room(e *cookie.Engine, now time.Time) {
-	e.SetZones([]peer.ZoneLoad{{Zone: otherZone, Service: "feed", Flows: 1, Slots: 4}}, now)
+	e.SetZoneLoads([]peer.ZoneLoad{{Zone: otherZone, Service: "feed", Flows: 1, Slots: 4}}, now)
 }
 
 var _ = Describe("A new flow of a zone that is short of slots", func() {
@@ -59,7 +59,7 @@
 	It("stays if nobody tells of another zone's room", func() {
 		e := busyZone()
 		now := start.Add(1200 * ms)
-		e.SetZones(nil, now)
+		e.SetZoneLoads(nil, now)
 		Expect(e.Decide(newCaller(1, feedAt).first(0), now).Cause).To(Equal(cookie.CausePlaced))
 	})
 
--- a/internal/connection/cookie/warmup.go
+++ b/internal/connection/cookie/warmup.go
@@ -6,9 +6,9 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Warmer tells how many new flows this balancer may send in any second to an upstream that is slow after its start
+// WarmupLimiter tells how many new flows this balancer may send in any second to an upstream that is slow after its start
 // and bears rate of them from all balancers together.
-type Warmer interface {
+type WarmupLimiter interface {
 	Share(id bundle.UpstreamID, rate float64) int
 }
 
@@ -36,10 +36,10 @@
 	if rate <= 0 || !now.Before(u.coldUntil) {
 		return true
 	}
-	if e.opts.Warmer == nil {
+	if e.opts.WarmupLimiter == nil {
 		return false
 	}
-	return u.pace.allows(e.opts.Warmer.Share(u.Route.ID, rate), now)
+	return u.pace.allows(e.opts.WarmupLimiter.Share(u.Route.ID, rate), now)
 }
 
 // sentTo notes that a new flow was placed at an upstream.
--- a/internal/connection/cookie/warmup_test.go
+++ b/internal/connection/cookie/warmup_test.go
@@ -13,7 +13,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// fixedShare is a Warmer that allows so many a second.
+// fixedShare is a WarmupLimiter that allows so many a second.
 type fixedShare int
 
 func (f fixedShare) Share(bundle.UpstreamID, float64) int { return int(f) }
@@ -24,11 +24,11 @@
 	const slowFor = 3 * time.Second
 	// slowEngine returns an engine whose service bears 20 flows a second at each slow upstream, and whose share of
 	// that is given. The first of its upstreams is slow.
-	slowEngine := func(w cookie.Warmer, list []registry.Registration) *cookie.Engine {
+	slowEngine := func(w cookie.WarmupLimiter, list []registry.Registration) *cookie.Engine {
 		GinkgoHelper()
 		list[0].Warmup = slowFor
 		e := cookie.NewEngine(cookie.Options{
-			Zone: ownZone, Policy: upstream.NewZoned(ownZone, upstream.DefaultChoices), FlowLifetime: time.Minute, Warmer: w,
+			Zone: ownZone, Policy: upstream.NewZoned(ownZone, upstream.DefaultChoices), FlowLifetime: time.Minute, WarmupLimiter: w,
 		})
 		b := content()
 		for i := range b.Services {
@@ -36,7 +36,7 @@
 		}
 		e.SetRouting(bundle.NewRouting(1, b, nil), start)
 		setUpstreams(e, list, start)
-		e.Confirm(start)
+		e.ConfirmRegistrations(start)
 		return e
 	}
 	// placed returns how many of so many flows that come each 10 ms from a time on the upstream gets.
@@ -68,7 +68,7 @@
 			list[i].Revision, list[i].Created = p, p
 		}
 		setUpstreams(e, list, warm)
-		e.Confirm(warm)
+		e.ConfirmRegistrations(warm)
 		Expect(placed(e, 90, warm, list[0].ID)).To(BeNumerically(">", 20))
 	})
 
@@ -80,7 +80,7 @@
 
 	It("gets nothing from a balancer that has no share", func() {
 		list := registrations(2)
-		for _, w := range []cookie.Warmer{nil, fixedShare(0)} {
+		for _, w := range []cookie.WarmupLimiter{nil, fixedShare(0)} {
 			e := slowEngine(w, list)
 			Expect(placed(e, 50, start, list[0].ID)).To(BeZero())
 		}
--- a/internal/connection/cookie/watch.go
+++ b/internal/connection/cookie/watch.go
@@ -50,8 +50,8 @@
 // Probe is a request to look whether an upstream lives.
 type Probe struct {
 	Upstream *bundle.UpstreamRoute
-	// Listed is false for an upstream that the list no longer has.
-	Listed bool
+	// Registered is false for an upstream that the list no longer has.
+	Registered bool
 	// Reference is another upstream, one that was heard lately, to be probed while the
 	// probe waits: if it doesn't answer quickly either, the trouble is on this host's
 	// side and a time-out shows nothing. It is nil if there is none.
@@ -93,13 +93,13 @@
 		if u.probeDue(now) {
 			u.probes++
 			u.lastProbe = now
-			out = append(out, Probe{Upstream: u.Route, Listed: u.listed, Reference: e.reference(u, now)})
+			out = append(out, Probe{Upstream: u.Route, Registered: u.listed, Reference: e.reference(u, now)})
 		}
 	}
 	return out
 }
 
-// Probed takes in what a probe that was sent at a time found. It returns resets
+// ProbeDone takes in what a probe that was sent at a time found. It returns resets
 // for the flows of an upstream that is found dead, so that their callers come back
 // before an idle flow carries a request that can't be repeated.
 //
@@ -108,7 +108,7 @@
 // it happens twice while a probe of another upstream was answered quickly, and no
 // flow heard from the upstream meanwhile, which is what a crash of its host or a cut
 // looks like, and neither leaves a flow usable.
-func (e *Engine) Probed(id bundle.UpstreamID, r ProbeResult, sent, now time.Time) []Reset {
+func (e *Engine) ProbeDone(id bundle.UpstreamID, r ProbeResult, sent, now time.Time) []Reset {
 	u := e.upstreams[id]
 	// A probe that was sent to the former incarnation says nothing of the present one.
 	if u == nil || sent.Before(u.since) {
@@ -123,18 +123,18 @@
 	return e.endAt(map[*Upstream]bool{u: true})
 }
 
-// Hint notes that another balancer found an upstream dead. It is looked at, not
+// ReportedDead notes that another balancer found an upstream dead. It is looked at, not
 // believed: that balancer may be the one that is cut off. With few hosts each finds out by
 // itself; where each sees few flows, most of a crashed upstream's callers are told in time by hints alone.
-func (e *Engine) Hint(id bundle.UpstreamID, now time.Time) {
+func (e *Engine) ReportedDead(id bundle.UpstreamID, now time.Time) {
 	u := e.upstreams[id]
 	if u != nil && u.listed && u.health == HealthGood && now.Sub(u.checked) >= checkedFor {
 		u.doubt(now)
 	}
 }
 
-// Named returns the upstream that a cookie names, and whether there is one.
-func (e *Engine) Named(c Cookie) (bundle.UpstreamID, bool) {
+// UpstreamByCookie returns the upstream that a cookie names, and whether there is one.
+func (e *Engine) UpstreamByCookie(c Cookie) (bundle.UpstreamID, bool) {
 	u := e.table.byCookie[c]
 	if u == nil {
 		return 0, false
@@ -150,8 +150,8 @@
 	return HealthGood
 }
 
-// Dead returns the listed upstreams that were found dead.
-func (e *Engine) Dead() []bundle.UpstreamID {
+// DeadUpstreams returns the listed upstreams that were found dead.
+func (e *Engine) DeadUpstreams() []bundle.UpstreamID {
 	var out []bundle.UpstreamID
 	for id, u := range e.upstreams {
 		if u.listed && u.health == HealthDead {
@@ -161,8 +161,8 @@
 	return out
 }
 
-// Gone returns the upstreams that left the list and were found dead.
-func (e *Engine) Gone() []peer.GoneUpstream {
+// DeregisteredDead returns the upstreams that left the list and were found dead.
+func (e *Engine) DeregisteredDead() []peer.GoneUpstream {
 	var out []peer.GoneUpstream
 	for id, u := range e.upstreams {
 		if !u.listed && u.health == HealthDead {
@@ -172,9 +172,9 @@
 	return out
 }
 
-// LearnGone takes in upstreams that another balancer found dead after they left the
-// list. As with a Hint, this one looks for itself as soon as a packet names one.
-func (e *Engine) LearnGone(list []peer.GoneUpstream, now time.Time) {
+// LearnDeregisteredDead takes in upstreams that another balancer found dead after they left the
+// list. As with ReportedDead, this one looks for itself as soon as a packet names one.
+func (e *Engine) LearnDeregisteredDead(list []peer.GoneUpstream, now time.Time) {
 	for _, g := range list {
 		if e.upstreams[g.ID] == nil && g.Address.IsValid() {
 			e.unlisted(g.ID, g.Address, now).health = HealthSuspect
@@ -186,7 +186,7 @@
 // names it is taken for one of an upstream that nobody knows.
 func (e *Engine) unlisted(id bundle.UpstreamID, at netip.AddrPort, now time.Time) *Upstream {
 	u := &Upstream{
-		Cookie: Of(id), load: e.Board.Load(id), goneAt: now, reach: e.reachOf(""),
+		Cookie: Of(id), load: e.LoadTable.Load(id), goneAt: now, reach: e.reachOf(""),
 		Route: &bundle.UpstreamRoute{ID: id, Address: at, Service: &bundle.ServiceRoute{}},
 	}
 	e.upstreams[id] = u
@@ -224,7 +224,7 @@
 		if !u.listed && u.flows == 0 && now.Sub(u.goneAt) > e.opts.FlowLifetime {
 			delete(e.upstreams, id)
 			e.table.forgetCookie(u)
-			e.Board.Forget(id)
+			e.LoadTable.Forget(id)
 		}
 	}
 }
--- a/internal/connection/cookie/world_test.go
+++ b/internal/connection/cookie/world_test.go
@@ -107,7 +107,7 @@
 	})
 	e.SetRouting(bundle.NewRouting(1, b, nil), start)
 	setUpstreams(e, list, start)
-	e.Confirm(start)
+	e.ConfirmRegistrations(start)
 	return e
 }
 
--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -60,7 +60,7 @@
 	}
 	c.Replace(list, objects.Position(n+1), now)
 	e.Update(c.TakeChanges(), now)
-	e.Confirm(now)
+	e.ConfirmRegistrations(now)
 	return e, c
 }
 
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -81,12 +81,12 @@
 	c.start = newStartup(c.started, cfg.FirstStart)
 	c.warmers = peer.NewWarmers(peer.IDOf(cfg.Name), c.started.Add(JoinedAfter))
 	c.engine = cookie.NewEngine(cookie.Options{
-		Warmer:       c.warmers,
-		Zone:         cfg.Zone,
-		Regions:      cfg.Regions,
-		Policy:       upstream.NewZoned(cfg.Zone, upstream.DefaultChoices),
-		FlowLifetime: time.Duration(cfg.FlowLifetime),
-		Answered:     func(took time.Duration) { c.answered.Update(took.Seconds()) },
+		WarmupLimiter: c.warmers,
+		Zone:          cfg.Zone,
+		Regions:       cfg.Regions,
+		Policy:        upstream.NewZoned(cfg.Zone, upstream.DefaultChoices),
+		FlowLifetime:  time.Duration(cfg.FlowLifetime),
+		OnAnswered:    func(took time.Duration) { c.answered.Update(took.Seconds()) },
 	})
 	c.cfg.Store(cfg)
 	cleanup, err := steps.Run(ctx,
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -133,7 +133,7 @@
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.engine.LearnGone(got.Gone, now)
+	c.engine.LearnDeregisteredDead(got.Gone, now)
 	if got.AsOf.Epoch() < c.known.epoch {
 		return nil // It is of a store that is no longer.
 	}
@@ -246,7 +246,7 @@
 		update = c.known.history.Since(params.Version)
 	}
 	if params.Joining {
-		out.Gone = c.engine.Gone()
+		out.Gone = c.engine.DeregisteredDead()
 	}
 	out.AsOf, out.Digest = c.known.catalog.AsOf, c.known.catalog.Digest()
 	out.Doubt = c.known.catalog.Doubt(now)
--- a/internal/process/carrier/data_test.go
+++ b/internal/process/carrier/data_test.go
@@ -44,7 +44,7 @@
 		}
 		c.cfg.Store(&settings.Cookie{})
 		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), now)
-		c.engine.Confirm(now)
+		c.engine.ConfirmRegistrations(now)
 		c.known.confirm(kindEvacuations, now)
 		c.noteReady()
 		c.data = &data{c: c, conn: udp}
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/carrier/evacuation.go
@@ -67,7 +67,7 @@
 	if slices.Equal(zones, before) {
 		return
 	}
-	c.engine.Evacuate(zones, now)
+	c.engine.SetEvacuatedZones(zones, now)
 	for _, zone := range zones {
 		if !slices.Contains(before, zone) {
 			c.logEvacuation("Zone evacuated", zone, from)
--- a/internal/process/carrier/follows_test.go
+++ b/internal/process/carrier/follows_test.go
@@ -25,7 +25,7 @@
 		Expect(c.follows(rank, now.Add(500*time.Millisecond))).To(BeFalse())
 		told := now.Add(time.Second)
 		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), told)
-		c.engine.Confirm(told)
+		c.engine.ConfirmRegistrations(told)
 		Expect(c.follows(rank, told.Add(3*time.Second))).To(BeFalse(), "the evacuated zones aren't known")
 		c.known.confirm(kindEvacuations, told)
 		c.reading.Heard(told, false)
--- a/internal/process/carrier/loads.go
+++ b/internal/process/carrier/loads.go
@@ -119,7 +119,7 @@
 func (c *Carrier) ownZone() []peer.ZoneLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.engine.OwnZone()
+	list := c.engine.OwnZoneLoads()
 	return list[:min(len(list), peer.MaxZones)]
 }
 
@@ -159,7 +159,7 @@
 // takeLoads takes in the zone's sum.
 func (c *Carrier) takeLoads(r *peer.Report, now time.Time) {
 	c.mu.Lock()
-	ejected := c.engine.TakeSum(r, now)
+	ejected := c.engine.ApplyZoneReport(r, now)
 	c.mu.Unlock()
 	for _, id := range ejected {
 		klog.InfoS("Upstream gets no new flows: too many requests fail", "ID", id)
@@ -179,7 +179,7 @@
 func (c *Carrier) hint(ids []bundle.UpstreamID, now time.Time) {
 	c.mu.Lock()
 	for _, id := range ids {
-		c.engine.Hint(id, now)
+		c.engine.ReportedDead(id, now)
 	}
 	due := c.engine.DueProbes(now)
 	c.mu.Unlock()
--- a/internal/process/carrier/probe.go
+++ b/internal/process/carrier/probe.go
@@ -57,15 +57,15 @@
 	c := p.c
 	c.mu.Lock()
 	before := c.engine.Health(pr.Upstream.ID)
-	resets := c.engine.Probed(pr.Upstream.ID, r, sent, now)
+	resets := c.engine.ProbeDone(pr.Upstream.ID, r, sent, now)
 	after := c.engine.Health(pr.Upstream.ID)
 	c.mu.Unlock()
 	c.data.resets(resets)
-	if after == cookie.HealthDead && before != after && pr.Listed {
+	if after == cookie.HealthDead && before != after && pr.Registered {
 		c.members.tellFound([]bundle.UpstreamID{pr.Upstream.ID})
 	}
 	if before != after {
-		klog.InfoS("Upstream probed", "Upstream", pr.Upstream.Address, "ID", pr.Upstream.ID, "Listed", pr.Listed,
+		klog.InfoS("Upstream probed", "Upstream", pr.Upstream.Address, "ID", pr.Upstream.ID, "Listed", pr.Registered,
 			"Before", before, "After", after, "Result", r, "Took", now.Sub(sent), "FlowsReset", len(resets))
 	}
 }
@@ -75,7 +75,7 @@
 	accepted := p.quick(u)
 	now := time.Now()
 	p.c.mu.Lock()
-	p.c.engine.Checked(accepted, now)
+	p.c.engine.CheckDone(accepted, now)
 	due := p.c.engine.DueProbes(now)
 	p.c.mu.Unlock()
 	klog.InfoS("Nobody was heard, an upstream of another zone was asked",
@@ -150,7 +150,7 @@
 	now := time.Now()
 	c := p.c
 	c.mu.Lock()
-	found, resets := c.engine.Unaccepted(pr.Upstream.ID, sent, now)
+	found, resets := c.engine.ProbePending(pr.Upstream.ID, sent, now)
 	due := c.engine.DueProbes(now)
 	c.mu.Unlock()
 	c.data.resets(resets)
--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -184,6 +184,6 @@
 // confirmList notes as of when the list of upstreams is known. c.mu is held.
 func (c *Carrier) confirmList(at time.Time) {
 	c.known.confirm(kindUpstreams, at)
-	c.engine.Confirm(at)
+	c.engine.ConfirmRegistrations(at)
 	c.noteReady()
 }
--- a/internal/standin/emulator/events.go
+++ b/internal/standin/emulator/events.go
@@ -131,7 +131,7 @@
 			d := time.Duration(w.pattern.Delays.List)
 			w.after(d+w.jitter(d), func() {
 				if h.ready {
-					h.engine.Evacuate(list, w.wall())
+					h.engine.SetEvacuatedZones(list, w.wall())
 				}
 			})
 		}
--- a/internal/standin/emulator/host.go
+++ b/internal/standin/emulator/host.go
@@ -74,7 +74,7 @@
 	h.w.every(h.w.jitter(loadsPeriod), loadsPeriod, func() {
 		if h.ready {
 			h.engine.Expire(h.w.wall())
-			h.engine.Confirm(h.w.wall())
+			h.engine.ConfirmRegistrations(h.w.wall())
 		}
 	})
 }
@@ -89,8 +89,8 @@
 	h.engine.SetRouting(h.w.routing, now)
 	h.catalog.Replace(h.w.listed(), max(1, h.w.revision), now)
 	h.engine.Update(h.catalog.TakeChanges(), now)
-	h.engine.Evacuate(h.w.evacuated(), now)
-	h.engine.Confirm(now)
+	h.engine.SetEvacuatedZones(h.w.evacuated(), now)
+	h.engine.ConfirmRegistrations(now)
 	h.ready, h.booted, h.busyUntil = true, h.w.now, h.w.now
 	waiting := h.waiting
 	h.waiting = nil
@@ -203,7 +203,7 @@
 	if pr.Check {
 		accepted := h.accepted(pr.Upstream)
 		h.later(probeTook, func() {
-			h.engine.Checked(accepted, h.w.wall())
+			h.engine.CheckDone(accepted, h.w.wall())
 			h.probe()
 		})
 		return
@@ -218,7 +218,7 @@
 	}
 	h.later(took, func() {
 		before := h.engine.Health(id)
-		h.resets(h.engine.Probed(id, found, sent, h.w.wall()))
+		h.resets(h.engine.ProbeDone(id, found, sent, h.w.wall()))
 		if before != cookie.HealthDead && h.engine.Health(id) == cookie.HealthDead {
 			h.tellFound([]bundle.UpstreamID{id})
 		}
@@ -233,7 +233,7 @@
 
 // unaccepted tells that a probe isn't accepted yet.
 func (h *host) unaccepted(id bundle.UpstreamID, sent time.Time) {
-	found, resets := h.engine.Unaccepted(id, sent, h.w.wall())
+	found, resets := h.engine.ProbePending(id, sent, h.w.wall())
 	h.resets(resets)
 	h.probe()
 	if len(found) > 0 {
@@ -258,7 +258,7 @@
 		if o != h && o.ready {
 			h.w.after(h.w.way(h.zone, h.zone), func() {
 				for _, id := range ids {
-					o.engine.Hint(id, h.w.wall())
+					o.engine.ReportedDead(id, h.w.wall())
 				}
 			})
 		}
@@ -290,7 +290,7 @@
 	}
 	for _, h := range z.hosts {
 		if h.joined() {
-			h.engine.TakeSum(sum, w.wall())
+			h.engine.ApplyZoneReport(sum, w.wall())
 		}
 	}
 }
@@ -302,7 +302,7 @@
 func (z *zone) loads() []peer.ZoneLoad {
 	for _, h := range z.hosts {
 		if h.ready {
-			return h.engine.OwnZone()
+			return h.engine.OwnZoneLoads()
 		}
 	}
 	return nil
