--- a/internal/connection/caller/placer.go
+++ b/internal/connection/caller/placer.go
@@ -102,7 +102,7 @@
 // ReceiveFlowCounts takes in what another member told of its flows under a version.
 func (e *Engine) ReceiveFlowCounts(from upstream.MemberID, v bundle.Version, counts []uint32) {
 	if t := e.routing.Load(); t != nil && t.Version == v {
-		e.Loads.Heard(from, t.UpstreamIDs(), counts)
+		e.Loads.UpdateReported(from, t.UpstreamIDs(), counts)
 	}
 }
 
--- a/internal/connection/caller/query.go
+++ b/internal/connection/caller/query.go
@@ -25,7 +25,8 @@
 		noteFound(hop, &r)
 		hop.PlacedAt = 0
 	}
-	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumReplicas > 0 && !w.answer && w.view.Keeps(w.hash, peer.ID(hop.Owner)) {
+	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumReplicas > 0 && !w.answer &&
+		w.view.IsReplica(w.hash, peer.ID(hop.Owner)) {
 		e.storeProposal(w)
 	}
 	return e.queryNext(w)
--- a/internal/connection/caller/requests.go
+++ b/internal/connection/caller/requests.go
@@ -109,7 +109,7 @@
 	placed := rec.Upstream != 0
 	if u := w.routing.Upstream(rec.Upstream); u != nil {
 		limit = int64(u.Slots)
-		reachable = w.view.Reaches(u.Zone)
+		reachable = w.view.CanReach(u.Zone)
 	}
 	cause := CauseNone
 	k := requestKey{flow: w.key, token: m.Token}
@@ -156,7 +156,7 @@
 // through another home, and "not run" would not be true of the next one.
 func (e *Engine) isFirstCopy(w *packetWork) bool {
 	pausedUntil := Seconds(e.resumedAt.Load()) + Seconds(MaxTransmitSpan/time.Second)
-	return !w.view.Unsettled && (e.resumedAt.Load() == 0 || w.seconds > pausedUntil)
+	return !w.view.RepeatsPossible && (e.resumedAt.Load() == 0 || w.seconds > pausedUntil)
 }
 
 // mayHaveRunElsewhere reports whether the caller may have sent this request before,
@@ -165,7 +165,7 @@
 	if rec.Flags&RecordUncertain == 0 {
 		return false
 	}
-	if w.view.BeyondCut(w.hash) {
+	if w.view.OwnerMayBeUnreachable(w.hash) {
 		return true
 	}
 	return time.Duration(unixSeconds(w.now)-rec.PlacedAt)*time.Second < MaxTransmitSpan
@@ -199,7 +199,7 @@
 		if !found {
 			// A home that took the flow over doesn't know the requests from before;
 			// the upstream that holds the flow is then all there is to check.
-			if rec.Flags&RecordLocal != 0 && !w.view.Recent {
+			if rec.Flags&RecordLocal != 0 && !w.view.RecentlyChanged {
 				cause = CauseTokenNotOpen
 			}
 			return false
@@ -243,7 +243,7 @@
 	defer s.mu.Unlock()
 	view := e.view.Load()
 	for k, r := range s.m {
-		owner := view.Home(k.flow.Hash())
+		owner := view.Owner(k.flow.Hash())
 		switch {
 		case owner != nil && owner.ID != e.self:
 			// Another daemon is home now and lets the answer through.
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -93,7 +93,7 @@
 func (s *sweep) replicate(k *Key, r *Record) bool {
 	u := s.routing.Upstream(r.Upstream)
 	h := k.Hash()
-	owner := s.view.Home(h)
+	owner := s.view.Owner(h)
 	if u == nil || owner == nil {
 		return true
 	}
@@ -101,7 +101,7 @@
 		s.replicateAsOwner(k, r, u, h)
 		return true
 	}
-	keeps := s.view.Keeps(h, owner.ID)
+	keeps := s.view.IsReplica(h, owner.ID)
 	unconfirmed := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !keeps)
 	if owner.Tag() != r.ReplicaTag || unconfirmed {
 		s.sendRecord(k, r, owner.Data, geneve.FlagConfirm)
@@ -109,7 +109,7 @@
 	}
 	// A former holder's record isn't renewed. Kept, it could one day speak for a
 	// flow that was placed again meanwhile.
-	return s.view.Recent || keeps
+	return s.view.RecentlyChanged || keeps
 }
 
 // replicateAsOwner tells the backup and the other zones what they lack since members
@@ -146,7 +146,7 @@
 func (s *sweep) sendProposal(k *Key, r *Record) {
 	h := k.Hash()
 	self := s.view.Member(s.view.Self)
-	owner := s.view.Home(h)
+	owner := s.view.Owner(h)
 	for _, m := range []*peer.Member{owner, s.view.Replica(h, self.Zone, owner.ID)} {
 		if m == nil || m.ID == s.view.Self || s.budget <= 0 {
 			continue
--- a/internal/connection/cookie/world_test.go
+++ b/internal/connection/cookie/world_test.go
@@ -102,12 +102,12 @@
 func newEngineOf(b *bundle.Bundle, list []registry.Registration) *cookie.Engine {
 	e := cookie.NewEngine(cookie.Options{
 		Zone:         ownZone,
-		Policy:       upstream.NewZoned(ownZone, upstream.DefaultChoices),
+		Policy:       upstream.NewZoneAware(ownZone, upstream.DefaultChoices),
 		FlowLifetime: time.Minute,
 	})
 	e.SetRouting(bundle.NewRouting(1, b, nil), start)
 	setUpstreams(e, list, start)
-	e.Confirm(start)
+	e.ConfirmRegistrations(start)
 	return e
 }
 
@@ -121,7 +121,7 @@
 	}
 	for _, u := range e.Upstreams() {
 		if !listed[u.Route.ID] {
-			changes = append(changes, registry.Change{Registration: registry.Registration{ID: u.Route.ID}, Gone: true})
+			changes = append(changes, registry.Change{Registration: registry.Registration{ID: u.Route.ID}, Removed: true})
 		}
 	}
 	return e.Update(changes, now)
