--- a/internal/connection/caller/decoder.go
+++ b/internal/connection/caller/decoder.go
@@ -8,15 +8,17 @@
 	"github.com/fescueshed/fescueshed/internal/request/ip"
 )
 
-// Decoder turns received bytes into the packet that the engine decides on. It
-// keeps its buffers, so each worker has its own.
+// Decoder decodes received bytes into the packet that the engine handles. It reuses its
+// buffers and isn't safe for concurrent use, so each worker has its own.
 type Decoder struct {
 	ip   ip.Decoder
 	coap coap.Decoder
 	p    Packet
 }
 
-// Decode returns a packet that holds until the next call and aliases b.
+// Decode decodes b, which was received from the address from. It verifies the tag of a
+// packet with a hop option against k. The packet is valid until the next call and
+// aliases b. It is nil if the cause isn't CauseNone.
 func (d *Decoder) Decode(e *Engine, k *geneve.Key, from netip.Addr, b []byte) (*Packet, Cause) {
 	p := &d.p
 	inner, err := geneve.Decode(b, &p.Header)
--- a/internal/connection/caller/engine.go
+++ b/internal/connection/caller/engine.go
@@ -13,15 +13,16 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Packet is a decoded packet with where it came from.
+// Packet is a decoded packet with the address of its sender.
 type Packet struct {
-	// From is the sender's address; its port only spreads flows.
+	// From is the sender's address. Its port isn't kept, because it serves only to
+	// spread flows.
 	From   netip.Addr
 	Header geneve.Header
 	IP     ip.Packet
-	// Inner is the packet as the caller or upstream sent it.
+	// Inner is the packet as the caller or the upstream sent it.
 	Inner []byte
-	// CoAP is set for packets of a CoAP service.
+	// CoAP is the message in a packet of a CoAP service.
 	CoAP coap.Message
 }
 
@@ -36,23 +37,24 @@
 type Options struct {
 	// Self identifies this daemon.
 	Self peer.ID
-	// Fabrics are the addresses from which the fabric sends callers' packets and
-	// to which answers go.
+	// Fabrics are the addresses from which the fabric sends callers' packets and to
+	// which answers are sent.
 	Fabrics []netip.AddrPort
-	// Policy chooses upstreams; LeastLoaded if nil.
+	// Policy chooses upstreams for new flows. The default is LeastLoaded.
 	Policy upstream.Policy
 	// Start is the time from which records count their seconds.
 	Start time.Time
-	// Lease is for how long the daemon may go on without looking at the clock
-	// before it must ask others about its records.
+	// Lease is how long the daemon may run without checking the clock before it must
+	// ask other members to confirm its records. The default is DefaultLease.
 	Lease time.Duration
 }
 
-// DefaultLease is shorter than the time in which others replace a silent daemon.
+// DefaultLease is shorter than the time after which other members take over from a
+// silent daemon.
 const DefaultLease = time.Second
 
-// Engine decides for each packet of each flow. It has no socket and no clock:
-// the time comes with the packet. It is safe for concurrent use.
+// Engine decides what to do with each packet of each flow. It has no socket and no
+// clock: the time is passed in with each packet. It is safe for concurrent use.
 type Engine struct {
 	self    peer.ID
 	fabrics []netip.AddrPort
@@ -62,12 +64,14 @@
 
 	view    atomic.Pointer[numberedView]
 	routing atomic.Pointer[bundle.Routing]
-	// lastTick is when the daemon last saw its clock, in nanoseconds since start.
+	// lastTick is when DetectPause was last called, in nanoseconds since start.
 	lastTick atomic.Int64
-	// resumedAt is the time before which requests are forgotten.
+	// resumedAt is one more than the second in which the last pause was detected, in
+	// seconds since start, or zero if there was none. Requests that were last seen
+	// before that second are discarded.
 	resumedAt atomic.Uint32
-	// pauses counts the pauses of the process. Records from before the last one
-	// must be confirmed by others.
+	// pauses counts the pauses of this process. A record from before the last pause
+	// must be confirmed by other members before it is used.
 	pauses atomic.Uint32
 
 	Flows    *Table
@@ -76,30 +80,32 @@
 	Counters Counters
 }
 
-// numberedView is a view with the number by which records refer to it.
+// numberedView is a view of the members with the number by which records refer to it.
 type numberedView struct {
 	*peer.View
-	// number is never zero, which stands for no view.
+	// number is never zero; records use zero for no view. It wraps.
 	number uint8
-	// previous is the view before, or nil.
+	// previous is the view that this one replaced, or nil.
 	previous *peer.View
 }
 
-// Counters count what the engine did. All are safe for concurrent use.
+// Counters count what the engine did. They are safe for concurrent use.
 type Counters struct {
 	Drops [NumCauses]atomic.Uint64
-	// Placed counts flows given an upstream, Learned records taken from others.
+	// Placed counts flows that were given an upstream, Learned records that other
+	// members sent, Forwarded packets sent on to the flow's owner, and Queried packets
+	// sent through the members that may hold the flow's record.
 	Placed, Learned, Forwarded, Queried atomic.Uint64
-	// Adopted counts flows whose lost record was made again from an answer.
+	// Adopted counts flows whose lost record was rebuilt from an answer.
 	Adopted atomic.Uint64
-	// Conflicts counts records that contradicted one already held.
+	// Conflicts counts received records that contradicted the record held here.
 	Conflicts atomic.Uint64
-	// Pauses counts the pauses after which records had to be confirmed.
+	// Pauses counts the pauses of this process after which records had to be confirmed.
 	Pauses atomic.Uint64
 	Ended  atomic.Uint64
 }
 
-// NewEngine returns an engine that knows no bundle and only itself.
+// NewEngine returns an engine without a bundle whose view has no other members.
 func NewEngine(o Options) *Engine {
 	e := &Engine{
 		self:     o.Self,
@@ -121,7 +127,7 @@
 	return e
 }
 
-// SetView puts a view of the members in force.
+// SetView sets the view of the members to use from now on.
 func (e *Engine) SetView(v *peer.View) {
 	next := &numberedView{View: v, number: 1}
 	if old := e.view.Load(); old != nil {
@@ -131,20 +137,20 @@
 	e.view.Store(next)
 }
 
-// View returns the view in force.
+// View returns the current view of the members.
 func (e *Engine) View() *peer.View { return e.view.Load().View }
 
-// SetRouting puts a bundle's routing in force.
+// SetRouting sets the routing of a bundle to use from now on.
 func (e *Engine) SetRouting(t *bundle.Routing) { e.routing.Store(t) }
 
-// Routing returns the routing in force, or nil.
+// Routing returns the current routing, or nil if there is no bundle yet.
 func (e *Engine) Routing() *bundle.Routing { return e.routing.Load() }
 
-// DetectPause tells the engine that the daemon sees its clock. A gap longer than the
-// lease means that the process was paused: others may have taken it for dead
-// and decided without it. Everything that it knew from before must then be
-// confirmed by another holder before it is used, or a flow that was placed
-// again meanwhile would go to two upstreams.
+// DetectPause compares the current time with that of its previous call. A gap longer
+// than the lease means that the process was paused: other members may have taken it for
+// dead and decided without it. All records from before the pause must then be confirmed
+// by another member that holds them before they are used; otherwise a flow that was
+// placed again in the meantime would be sent to two upstreams.
 func (e *Engine) DetectPause(now time.Time) {
 	at := now.Sub(e.start)
 	last := time.Duration(e.lastTick.Swap(int64(at)))
@@ -159,7 +165,8 @@
 	return Seconds(now.Sub(e.start) / time.Second)
 }
 
-// packetWork is the state of one decision: what was looked up for the packet.
+// packetWork is the state of the decision on one packet: the packet and what was looked
+// up for it.
 type packetWork struct {
 	now     time.Time
 	seconds Seconds
@@ -173,8 +180,8 @@
 	out     []Output
 }
 
-// Handle decides what to do with a packet and appends what is to be sent to
-// out. A cause other than CauseNone says why the packet itself wasn't passed on.
+// Handle decides what to do with a packet and appends the packets to send to out. A
+// cause other than CauseNone says why the packet itself wasn't forwarded.
 func (e *Engine) Handle(now time.Time, p *Packet, out []Output) ([]Output, Cause) {
 	w := packetWork{
 		now:     now,
@@ -225,13 +232,14 @@
 	}
 }
 
-// classify finds the packet's direction from its sender.
+// classify determines the packet's direction from its sender.
 func (e *Engine) classify(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	if hop.Kind != geneve.KindNone {
-		// The tag was checked, so a member sent this, though perhaps one that this
-		// daemon doesn't know yet or takes for dead. Its packets are flows' packets:
-		// dropping them would break flows whenever two views differ.
+		// The tag was verified, so a member sent this packet, though perhaps one that
+		// this daemon doesn't know yet or takes for dead. Such a packet belongs to a
+		// flow like any other: dropping it would break flows whenever the views of two
+		// members differ.
 		w.answer = hop.Has(geneve.FlagAnswer)
 		return CauseNone
 	}
@@ -244,8 +252,8 @@
 	if u == nil {
 		return CauseUnknownSender
 	}
-	// The sender's service must be the packet's, or an upstream could answer for
-	// another service by writing its VNI.
+	// The sender must belong to the packet's service. Otherwise an upstream could
+	// answer for another service by writing that service's VNI.
 	if u.Service != w.service {
 		return CauseWrongService
 	}
@@ -254,8 +262,8 @@
 	return CauseNone
 }
 
-// checkService refuses a packet whose address isn't of the service that its VNI
-// names: a stale table or a reused address must not carry it to another service.
+// checkService rejects a packet whose service address doesn't belong to the service of
+// its VNI: an outdated table or a reused address must not route it to another service.
 func (w *packetWork) checkService() Cause {
 	at := w.p.IP.Dst
 	if w.answer {
@@ -270,11 +278,14 @@
 	return CauseNone
 }
 
-// maxHops ends a packet that daemons with different views pass back and forth.
+// maxHops is how many times daemons may forward a packet to each other before it is
+// dropped. Without this limit, daemons with different views could send it back and
+// forth endlessly.
 const maxHops = 8
 
-// route takes a packet to its home. A daemon that holds a firm record acts as
-// home even if the view says otherwise: a flow's upstream never changes.
+// route forwards a packet to its flow's owner. A daemon that holds a committed record
+// acts as the owner even if another member is the owner in its view, because a flow's
+// upstream never changes.
 func (e *Engine) route(w *packetWork) Cause {
 	owner := w.view.Owner(w.hash)
 	if owner == nil || owner.ID == e.self || e.hasCommitted(w) {
@@ -303,12 +314,13 @@
 	return ok && r.State == StateCommitted && !e.predatesPause(&r)
 }
 
-// predatesPause reports whether a record is from before a pause of this process.
+// predatesPause reports whether the record was last known to be valid before the last
+// pause of this process.
 func (e *Engine) predatesPause(r *Record) bool {
 	return r.PauseCount != uint8(e.pauses.Load())
 }
 
-// markValid notes that a record is known to hold now.
+// markValid notes that the record is known to be valid at present.
 func (e *Engine) markValid(r *Record) {
 	r.PauseCount = uint8(e.pauses.Load())
 }
@@ -317,12 +329,13 @@
 	w.out = append(w.out, Output{To: to, Header: h, Inner: inner})
 }
 
-// headerWithoutHop returns the header of a packet that leaves the daemons.
+// headerWithoutHop returns the header for a packet that is sent to an upstream or to
+// the fabric.
 func (w *packetWork) headerWithoutHop() geneve.Header {
 	return geneve.Header{VNI: w.p.Header.VNI, EtherType: w.p.Header.EtherType}
 }
 
-// deliver sends a call to the upstream or an answer to the fabric.
+// deliver sends a call to the upstream id and an answer to the fabric.
 func (e *Engine) deliver(w *packetWork, id bundle.UpstreamID) Cause {
 	if w.answer {
 		return e.sendToCaller(w, w.p.Inner)
@@ -335,7 +348,8 @@
 	return CauseNone
 }
 
-// sendToCaller sends a packet to the fabric. Flows are spread over its addresses.
+// sendToCaller sends a packet to the fabric. It spreads flows over the fabric's
+// addresses by their hash.
 func (e *Engine) sendToCaller(w *packetWork, inner []byte) Cause {
 	if len(e.fabrics) == 0 {
 		return CauseUnknownSender
@@ -344,7 +358,7 @@
 	return CauseNone
 }
 
-// IsCoAP reports whether a VNI is that of a CoAP service.
+// IsCoAP reports whether a VNI belongs to a CoAP service.
 func (e *Engine) IsCoAP(v bundle.VNI) bool {
 	t := e.routing.Load()
 	if t == nil {
--- a/internal/connection/caller/key.go
+++ b/internal/connection/caller/key.go
@@ -1,5 +1,12 @@
-// Package caller holds what lives as long as a caller's flow: its key, its
-// record, the table of records and the decision for each of its packets.
+// Package caller decides what to do with each packet of a caller's flow. It holds the
+// flow's key, its record, the table of records and the open requests.
+//
+// A call is a packet from the caller to the service, an answer is a packet from an
+// upstream to the caller. The record of a flow says at which upstream the flow is
+// placed. The owner of the flow, which all daemons compute from the hash of its key,
+// decides on its packets. Other members keep replicas of the record: one in each zone,
+// of which the one in the upstream's zone is the backup. The placer of a service
+// chooses the upstreams of its new flows, so that one member sees all of them.
 package caller
 
 import (
@@ -18,16 +25,17 @@
 	protocolBits = 8
 )
 
-// Key names a flow in both directions: the caller's and the service's address
-// and port, the transport protocol and the VNI.
+// Key identifies a flow in both directions: the addresses and ports of the caller and
+// the service, the transport protocol and the VNI.
 type Key struct {
 	Caller, Service         [16]byte
 	CallerPort, ServicePort uint16
-	// VNIProtocol is the VNI above the 8 bits of the protocol number.
+	// VNIProtocol has the protocol number in its low 8 bits and the VNI above them.
 	VNIProtocol uint32
 }
 
-// KeyOf returns the key of a packet. An answer goes from the service to the caller.
+// KeyOf returns the key of a packet's flow. answer says that the packet goes from the
+// service to the caller.
 func KeyOf(vni bundle.VNI, p *ip.Packet, answer bool) Key {
 	c, s := p.Src, p.Dst
 	if answer {
@@ -42,7 +50,7 @@
 	}
 }
 
-// Hash returns the hash by which daemons rank each other for the flow.
+// Hash returns the hash by which daemons rank the members for the flow.
 func (k *Key) Hash() peer.FlowHash {
 	var b [keyBytes]byte
 	copy(b[:], k.Caller[:])
@@ -53,7 +61,7 @@
 	return peer.FlowHash(xxhash.Sum64(b[:]))
 }
 
-// VNI returns the service's network identifier.
+// VNI returns the service's virtual network identifier.
 func (k *Key) VNI() bundle.VNI {
 	return bundle.VNI(k.VNIProtocol >> protocolBits)
 }
--- a/internal/connection/caller/owner.go
+++ b/internal/connection/caller/owner.go
@@ -25,7 +25,7 @@
 				return false
 			}
 		}
-		if r.State == StateTentative && r.Upstream == 0 && w.seconds > r.ConfirmedAt {
+		if r.State == StateTentative && r.Upstream == 0 && w.seconds > r.ReplicatedAt {
 			e.chooseLocally(w, r)
 		}
 		e.touch(w, r)
@@ -43,7 +43,8 @@
 	return e.forwardCall(w, &rec)
 }
 
-// forwardCall lets a call of a flow whose upstream is known or proposed through.
+// forwardCall forwards a call of a flow whose upstream is known or proposed, if the
+// request may pass.
 func (e *Engine) forwardCall(w *packetWork, rec *Record) Cause {
 	if cause := e.admit(w, rec); cause != CauseNone {
 		return cause
@@ -54,8 +55,9 @@
 	return e.forwardCommitted(w, rec)
 }
 
-// forwardCommitted sends a packet of a firm flow to its end, past those who keep the record
-// if it is time to renew that.
+// forwardCommitted sends a packet of a committed flow to its destination. If it is time
+// to renew the replicas of the record, the packet passes through the members that keep
+// them.
 func (e *Engine) forwardCommitted(w *packetWork, rec *Record) Cause {
 	if w.mustRenew(rec) {
 		return e.refresh(w, rec)
@@ -65,7 +67,8 @@
 }
 
 // handleNoRecord handles a call for which no record could be made: either no upstream
-// may take a flow, or it is the middle of a TCP flow that others may know.
+// can take a flow, or the packet is from the middle of a TCP flow that other members
+// may know.
 func (e *Engine) handleNoRecord(w *packetWork) Cause {
 	if w.p.IP.Protocol == ip.ProtocolTCP && !w.opensTCP() {
 		return e.query(w, &Record{})
@@ -73,14 +76,16 @@
 	return e.refuse(w, refusalNoUpstream)
 }
 
-// newRecord proposes an upstream for a flow without a record. Nothing is sent
-// there before a backup has the record too, unless there is no other member.
+// newRecord proposes an upstream for a flow without a record. If another member is the
+// placer of the service, the record has no upstream yet. newRecord returns false if no
+// record was made. No packet is sent to the upstream before a backup has the record
+// too, unless there is no other member.
 func (e *Engine) newRecord(w *packetWork, r *Record) bool {
 	if w.p.IP.Protocol == ip.ProtocolTCP && !w.opensTCP() {
 		return false
 	}
-	beyond := w.view.OwnerMayBeUnreachable(w.hash)
-	if beyond && deferPlacement(w, r) {
+	ownerUnreachable := w.view.OwnerMayBeUnreachable(w.hash)
+	if ownerUnreachable && deferPlacement(w, r) {
 		return true
 	}
 	var id bundle.UpstreamID
@@ -93,18 +98,17 @@
 		e.Loads.Placed(id, w.now.Add(recentPlacementPeriod))
 	}
 	e.uncount(r)
-	*r = Record{Upstream: id, State: StateTentative, PlacedAt: unixSeconds(w.now), ConfirmedAt: w.seconds, Flags: RecordLocal}
+	*r = Record{Upstream: id, State: StateTentative, PlacedAt: unixSeconds(w.now), ReplicatedAt: w.seconds, Flags: RecordLocal}
 	e.markValid(r)
-	if beyond || w.view.RecordMayBeLost(w.hash) {
+	if ownerUnreachable || w.view.RecordMayBeLost(w.hash) {
 		r.Flags = RecordUncertain
 	}
 	e.Counters.Placed.Add(1)
 	return true
 }
 
-// chooseLocally chooses at the home itself for a flow whose placer gave no answer
-// to an earlier copy of its packet: the placer may be dead, or take this daemon
-// for dead.
+// chooseLocally chooses an upstream at the owner itself if the placer didn't reply to
+// an earlier copy of the packet: the placer may be dead, or take this daemon for dead.
 func (e *Engine) chooseLocally(w *packetWork, r *Record) {
 	if u := e.chooseUpstream(w, 0); u != nil {
 		r.Upstream = u.ID
@@ -112,17 +116,18 @@
 	}
 }
 
-// recentPlacementPeriod is how long a new flow counts at its placer by itself; after that
-// its home has told of it.
+// recentPlacementPeriod is how long the placer counts a new flow itself. After that
+// time the flow's owner has reported it.
 const recentPlacementPeriod = 8 * time.Second
 
-// copiesBeforePlacement is how often the same message of a flow must come before a side
-// of a cut places it whose home is on the other side. A caller that reaches both
-// sides gets its answer from there before, most likely; one that reaches only
-// this side is served after two retransmissions.
+// copiesBeforePlacement is how often the same message of a flow must arrive before one
+// side of a network partition places a flow whose owner is on the other side. A caller
+// that reaches both sides most likely gets its answer from the other side before; a
+// caller that reaches only this side is served after two retransmissions.
 const copiesBeforePlacement = 3
 
-// deferPlacement counts the copies of a message. It returns false when there were enough.
+// deferPlacement counts the copies of a message in the record of a deferred flow. It
+// returns false if enough of them have arrived.
 func deferPlacement(w *packetWork, r *Record) bool {
 	id := w.p.IP.Seq
 	if w.p.IP.Protocol == ip.ProtocolUDP {
@@ -131,12 +136,13 @@
 	if r.State != StateDeferred || r.ReplicaTag != id {
 		*r = Record{State: StateDeferred, ReplicaTag: id}
 	}
-	r.ConfirmedAt++
-	return r.ConfirmedAt < copiesBeforePlacement
+	r.ReplicatedAt++
+	return r.ReplicatedAt < copiesBeforePlacement
 }
 
-// chooseUpstream returns an upstream for the flow other than not, or nil. Zones in which
-// no member is reachable are left out: their upstreams can't be reached either.
+// chooseUpstream returns an upstream for the flow other than not, or nil. It skips
+// zones in which no member is reachable, because their upstreams can't be reached
+// either.
 func (e *Engine) chooseUpstream(w *packetWork, not bundle.UpstreamID) *bundle.UpstreamRoute {
 	candidates := make([]upstream.Candidate, 0, len(w.service.Upstreams))
 	for _, u := range w.service.Upstreams {
@@ -148,9 +154,9 @@
 	return e.policy.Choose(candidates, uint64(w.hash))
 }
 
-// query sends a packet through the members that may hold its flow's record. The
-// last of them is the backup of the proposed upstream, which records it if
-// nobody had one.
+// query sends a packet through the members that may hold a replica of its flow's
+// record. The last of them is the backup for the proposed upstream, which commits the
+// proposal if no member had a record.
 func (e *Engine) query(w *packetWork, r *Record) Cause {
 	h := w.p.Header
 	h.Hop = geneve.Hop{Kind: geneve.KindQuery, Upstream: r.Upstream, PlacedAt: r.PlacedAt, Owner: uint64(e.self)}
@@ -180,9 +186,10 @@
 	return e.queryNext(w)
 }
 
-// queryBackupLast puts the backup of the proposed upstream at the end of those who
-// are asked: it records the flow if nobody had it. The record here notes whom
-// the packet passes; the flow's first answer proves that it did.
+// queryBackupLast moves the backup for the proposed upstream to the end of the members
+// to query, where it commits the proposal if no member had a record. The record here
+// notes through which backup the packet passes; the flow's first answer proves that the
+// packet did pass.
 func (e *Engine) queryBackupLast(w *packetWork, rec *Record) {
 	hop := &w.p.Header.Hop
 	u := w.routing.Upstream(hop.Upstream)
@@ -199,13 +206,13 @@
 	}
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		if found && r.State == StateTentative {
-			r.ReplicaTag, r.ConfirmedAt, r.ReplicatedView = b.Tag(), w.seconds, w.view.number
+			r.ReplicaTag, r.ReplicatedAt, r.ReplicatedView = b.Tag(), w.seconds, w.view.number
 		}
 		return found
 	})
 }
 
-// handleAnswer lets an answer through to the caller only from the upstream that
+// handleAnswer forwards an answer to the caller only if it is from the upstream that
 // holds the flow.
 func (e *Engine) handleAnswer(w *packetWork) Cause {
 	from := w.p.Header.Hop.Upstream
@@ -219,7 +226,8 @@
 			return true
 		}
 		if r.Upstream == from && r.State == StateTentative && r.Flags&(RecordUncertain|RecordBackup) == 0 && !e.predatesPause(r) {
-			// The upstream has seen the call, so that had passed the backup.
+			// The upstream has received the call, so the call had passed through the
+			// backup.
 			r.State = StateCommitted
 		}
 		if r.Upstream == from && r.State != StateTentative {
@@ -237,7 +245,7 @@
 	case retried:
 		return CauseSuperseded
 	case rec.State == 0 || rec.State == StateTentative || e.predatesPause(&rec):
-		// A lost record may be made again from the answer itself.
+		// A lost record may be rebuilt from the answer itself.
 		rec.Upstream = from
 		return e.query(w, &rec)
 	case rec.Upstream != from:
@@ -249,9 +257,9 @@
 	return e.forwardCommitted(w, &rec)
 }
 
-// replicateToBackup tells the flow's present backup its record if that was told to another
-// member, or to an earlier run of this one. Without it, a second death would
-// lose the flow though it came long after the first.
+// replicateToBackup sends the record to the flow's present backup if the confirmed
+// replica is at another member, or at an earlier process of the backup. Without it, a
+// second failure would lose the flow even long after the first.
 func (e *Engine) replicateToBackup(w *packetWork, r *Record) {
 	if r.CheckedView == w.view.number {
 		return
@@ -275,7 +283,7 @@
 	return uint32(t.Unix())
 }
 
-// touch notes at the home that a packet passed.
+// touch updates the record at the owner after a packet of the flow.
 func (e *Engine) touch(w *packetWork, r *Record) {
 	r.LastSeen = w.seconds
 	if r.State == StateDeferred {
@@ -289,7 +297,7 @@
 	}
 }
 
-// count adds a record to its upstream's load, once.
+// count adds the flow to its upstream's load, unless it is counted already.
 func (e *Engine) count(r *Record) {
 	if r.Flags&RecordCounted != 0 || r.State == StateEnded || r.Upstream == 0 {
 		return
@@ -298,7 +306,7 @@
 	e.Loads.Load(r.Upstream).Flows.Add(1)
 }
 
-// uncount takes a record out of its upstream's load.
+// uncount removes the flow from its upstream's load if it is counted there.
 func (e *Engine) uncount(r *Record) {
 	if r.Flags&RecordCounted == 0 {
 		return
--- a/internal/connection/caller/placer.go
+++ b/internal/connection/caller/placer.go
@@ -9,8 +9,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// requestPlacement sends a call of a new flow to the member that chooses for its
-// service. One place that knows of all new flows spreads them best.
+// requestPlacement sends a call of a new flow to the placer of its service, which
+// chooses the upstream. A single member that sees all new flows distributes them best.
 func (e *Engine) requestPlacement(w *packetWork, r *Record) Cause {
 	hop := &w.p.Header.Hop
 	*hop = geneve.Hop{Kind: geneve.KindPlacementRequest, PlacedAt: r.PlacedAt, Owner: uint64(e.self), Count: hop.Count + 1}
@@ -22,9 +22,10 @@
 	return CauseNone
 }
 
-// handlePlacementRequest chooses the upstream of a new flow and sends the packet back to its
-// home. It remembers the choice for some time: a caller's repetition must not be
-// placed elsewhere while the first copy is under way.
+// handlePlacementRequest chooses the upstream of a new flow at the placer and sends the
+// packet back to the flow's owner. It stores the choice for some time, so that a copy
+// of the packet that the caller repeats isn't placed elsewhere while the first copy is
+// under way.
 func (e *Engine) handlePlacementRequest(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	owner := w.view.Member(peer.ID(hop.Owner))
@@ -62,7 +63,8 @@
 	return CauseNone
 }
 
-// handlePlacementReply goes on with a call at its home once the placer has handlePlacementReply.
+// handlePlacementReply continues with a call at its owner after the placer has chosen
+// the upstream.
 func (e *Engine) handlePlacementReply(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	var rec Record
@@ -84,8 +86,8 @@
 	return e.forwardCall(w, &rec)
 }
 
-// FlowCounts returns how many flows this daemon is home of at each upstream of
-// the bundle, in the order that all daemons share, and the bundle's version.
+// FlowCounts returns how many flows this daemon owns at each upstream of the bundle, in
+// the order that all daemons share, and the bundle's version.
 func (e *Engine) FlowCounts() (bundle.Version, []uint32) {
 	t := e.routing.Load()
 	if t == nil {
@@ -99,14 +101,16 @@
 	return t.Version, counts
 }
 
-// ReceiveFlowCounts takes in what another member told of its flows under a version.
+// ReceiveFlowCounts stores the flow counts that another member sent. It ignores counts
+// under a version of the bundle other than the current one.
 func (e *Engine) ReceiveFlowCounts(from upstream.MemberID, v bundle.Version, counts []uint32) {
 	if t := e.routing.Load(); t != nil && t.Version == v {
 		e.Loads.UpdateReported(from, t.UpstreamIDs(), counts)
 	}
 }
 
-// ExpireRecentPlacements forgets flows that count by themselves no longer.
+// ExpireRecentPlacements removes the placements that no longer have to be counted
+// separately, because the flow's owner has reported the flow by now.
 func (e *Engine) ExpireRecentPlacements(now time.Time) {
 	e.Loads.Expire(now)
 }
--- a/internal/connection/caller/query.go
+++ b/internal/connection/caller/query.go
@@ -9,7 +9,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// handleQuery handles a packet at a member that was asked for the flow's record.
+// handleQuery handles a packet at a member that may hold a replica of the flow's
+// record.
 func (e *Engine) handleQuery(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	r, found := e.Flows.Get(&w.key, w.hash)
@@ -21,7 +22,8 @@
 	case found && r.State == StateTentative && hop.Has(geneve.FlagPlace) && hop.Found == 0 && !w.answer:
 		preferEarlierProposal(hop, &r)
 	case found && r.isProposalCopy() && hop.Found == 0:
-		// The flow's first packet went past here; nobody may know more beyond a cut.
+		// The flow's first packet passed through this member. During a network
+		// partition no other reachable member may know more.
 		noteFound(hop, &r)
 		hop.PlacedAt = 0
 	}
@@ -32,9 +34,10 @@
 	return e.queryNext(w)
 }
 
-// preferEarlierProposal puts an earlier proposal in the place of the one that the packet brings.
-// Two homes under two views may propose at once, and the packets of an earlier
-// try may have reached an upstream: all must come to the same one.
+// preferEarlierProposal replaces the proposal in the packet by an earlier one that is
+// stored here. Two owners under two views may propose upstreams at the same time, and
+// the packets of an earlier attempt may have reached an upstream: all packets must
+// reach the same one.
 func preferEarlierProposal(hop *geneve.Hop, r *Record) {
 	if r.Upstream == 0 || r.Upstream == hop.Upstream || r.PlacedAt > hop.PlacedAt {
 		return
@@ -46,13 +49,14 @@
 	hop.Upstream, hop.PlacedAt = r.Upstream, r.PlacedAt
 }
 
-// isProposalCopy reports whether this is a proposal that its home left here on its way.
+// isProposalCopy reports whether the record is a proposal that the flow's owner stored
+// here while its packet passed through.
 func (r *Record) isProposalCopy() bool {
 	return r.State == StateTentative && r.Upstream != 0 && r.ReplicaTag != 0 && r.Flags&RecordBackup != 0
 }
 
-// storeProposal keeps a proposal of another member. Those who keep their zone's
-// copies do so, so that the zone knows the flow if it is cut off.
+// storeProposal stores a proposal of another member. The members that keep the replicas
+// for their zone do so, so that the zone has the record if it is cut off.
 func (e *Engine) storeProposal(w *packetWork) {
 	hop := &w.p.Header.Hop
 	owner := w.view.Member(peer.ID(hop.Owner))
@@ -71,7 +75,8 @@
 			e.markValid(r)
 		}
 		if r.isPlacerChoice() && r.Upstream == hop.Upstream {
-			// The placer keeps its zone's copy too, which lasts longer than its choice.
+			// The placer may be its zone's replica too. The replica is kept longer than
+			// the placer's choice.
 			r.ReplicaTag = owner.Tag()
 			if hop.Has(geneve.FlagUncertain) {
 				r.Flags |= RecordUncertain
@@ -81,15 +86,16 @@
 	})
 }
 
-// isPlacerChoice reports whether this is what a placer remembers of its choice.
+// isPlacerChoice reports whether the record is the placer's own copy of its choice.
 func (r *Record) isPlacerChoice() bool {
 	return r.State == StateTentative && r.Flags&RecordBackup != 0 && r.ReplicaTag == 0
 }
 
-// noteFound notes a holder's record in the hop if it is the newest so far. While
-// holders may have died, or this one was paused, the first record that is found
-// may be one from before the flow was placed again, so all are asked. It still
-// counts if nobody has a newer one: all holders may have been paused together.
+// noteFound puts the record into the hop if it is the newest found so far. While
+// members that hold replicas may have died, or this one was paused, the first record
+// found may be older than another placement of the flow, so all members are queried.
+// The record is still valid if no member has a newer one: all of them may have been
+// paused at the same time.
 func noteFound(hop *geneve.Hop, r *Record) {
 	if hop.Found != 0 && r.PlacedAt <= hop.PlacedAt {
 		return
@@ -101,8 +107,8 @@
 	}
 }
 
-// queryNext sends the packet to the next member on its list that is still
-// there, or decides itself if none is.
+// queryNext sends the packet to the next listed member that is in the view, or decides
+// here if there is none.
 func (e *Engine) queryNext(w *packetWork) Cause {
 	if e.sendToNextReplica(w) {
 		return CauseNone
@@ -110,7 +116,8 @@
 	return e.decideAfterQuery(w)
 }
 
-// sendToNextReplica sends the packet to the next member on its list, if any is there.
+// sendToNextReplica sends the packet to the next listed member that is in the view. It
+// returns false if there is none.
 func (e *Engine) sendToNextReplica(w *packetWork) bool {
 	hop := &w.p.Header.Hop
 	for {
@@ -129,7 +136,8 @@
 	}
 }
 
-// deliverByRecord delivers a packet by a record that was found and tells the home.
+// deliverByRecord delivers a packet according to a record that was found, and sends the
+// record to the owner.
 func (e *Engine) deliverByRecord(w *packetWork, r *Record) Cause {
 	e.sendToOwner(w, r)
 	if w.answer && r.Upstream != w.p.Header.Hop.Upstream {
@@ -141,7 +149,8 @@
 	return e.deliver(w, r.Upstream)
 }
 
-// decideAfterQuery decides when all who may hold a record have been asked.
+// decideAfterQuery decides on a packet after all members that may hold a record have
+// been queried.
 func (e *Engine) decideAfterQuery(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	if hop.Found != 0 {
@@ -157,10 +166,10 @@
 	if w.answer {
 		return e.adoptFromAnswer(w)
 	}
-	rec, fresh := e.commit(w, hop.Upstream, hop.Has(geneve.FlagUncertain))
-	if !fresh || hop.Has(geneve.FlagUncertain) || hop.Has(geneve.FlagOverridden) {
-		// Else the home takes the first answer for a confirmation; but there may be
-		// none, and then the packet comes here again.
+	rec, created := e.commit(w, hop.Upstream, hop.Has(geneve.FlagUncertain))
+	if !created || hop.Has(geneve.FlagUncertain) || hop.Has(geneve.FlagOverridden) {
+		// Otherwise the owner takes the first answer as the confirmation. If there is
+		// no answer, the caller's repeated packet reaches this member again.
 		e.sendToOwner(w, &rec)
 	}
 	if hop.Has(geneve.FlagUncertain) && w.mustNotRunTwice() {
@@ -169,9 +178,9 @@
 	return e.deliver(w, rec.Upstream)
 }
 
-// adoptFromAnswer makes a lost record again from an answer: the upstream that sends it
-// must have the flow. If nothing can have been lost, the upstream never had it,
-// and this is an answer to an earlier holder of the five-tuple.
+// adoptFromAnswer rebuilds a lost record from an answer: the upstream that sends it
+// must have the flow. If no record can have been lost, the upstream never had the flow,
+// and this is an answer to an earlier user of the same five-tuple.
 func (e *Engine) adoptFromAnswer(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	if !hop.Has(geneve.FlagUncertain) {
@@ -184,24 +193,24 @@
 	return e.deliverByRecord(w, &rec)
 }
 
-// commit records that the flow is at the upstream id, as the hop says, unless a
-// newer record stands here already. It returns the record that holds. unsure
-// says that an earlier record may have been lost. Whether it was made now is
-// returned too.
-func (e *Engine) commit(w *packetWork, id bundle.UpstreamID, unsure bool) (rec Record, fresh bool) {
+// commit records that the flow is at the upstream id, placed at the time in the hop,
+// unless a newer record is held here already. It returns the valid record and whether
+// it was made by this call. uncertain says that an earlier record may have been lost.
+func (e *Engine) commit(w *packetWork, id bundle.UpstreamID, uncertain bool) (rec Record, created bool) {
 	hop := &w.p.Header.Hop
 	owner := w.view.Member(peer.ID(hop.Owner))
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		e.markValid(r)
 		if !found || r.State != StateCommitted || hop.PlacedAt > r.PlacedAt {
-			e.replace(r, remoteRecord{upstream: id, placed: hop.PlacedAt, unsure: unsure}, w.seconds)
-			fresh = true
+			e.replace(r, remoteRecord{upstream: id, placedAt: hop.PlacedAt, uncertain: uncertain}, w.seconds)
+			created = true
 			if peer.ID(hop.Owner) != e.self {
 				r.Flags |= RecordBackup
 			}
 			if owner != nil && owner.ID != e.self && hop.Found == 0 && !hop.Has(geneve.FlagOverridden) {
-				// The home has proposed this upstream and notes that it did. If it has
-				// proposed another, it is told in each sweep until it confirms.
+				// The owner proposed this upstream and has recorded whom it queried. If
+				// it proposed another upstream, this record is sent to it in each sweep
+				// until it confirms.
 				r.ReplicaTag = owner.Tag()
 				r.Flags |= RecordUnconfirmed
 			}
@@ -210,10 +219,10 @@
 		rec = *r
 		return true
 	})
-	return rec, fresh
+	return rec, created
 }
 
-// sendToOwner lets the home know which upstream holds the flow.
+// sendToOwner sends the record to the flow's owner, which must confirm it.
 func (e *Engine) sendToOwner(w *packetWork, r *Record) {
 	owner := peer.ID(w.p.Header.Hop.Owner)
 	if owner == e.self {
@@ -224,7 +233,7 @@
 	}
 }
 
-// sendRecord sends a record without the packet's payload.
+// sendRecord sends a record with the headers of the packet, without its payload.
 func (e *Engine) sendRecord(w *packetWork, to netip.AddrPort, r *Record, flags geneve.Flags) {
 	h := w.headerWithoutHop()
 	h.Control = true
@@ -235,7 +244,7 @@
 	w.send(to, h, ip.Headers(w.p.Inner))
 }
 
-// replicateHop tells a record in the name of a holder.
+// replicateHop returns the hop by which the member self sends a record.
 func replicateHop(self peer.ID, r *Record, flags geneve.Flags) geneve.Hop {
 	if r.Flags&RecordRetried != 0 {
 		flags |= geneve.FlagRetried
--- a/internal/connection/caller/refresh.go
+++ b/internal/connection/caller/refresh.go
@@ -7,23 +7,23 @@
 	"github.com/fescueshed/fescueshed/internal/connection/peer"
 )
 
-// renewDivisor and backupIdleFactor: a home renews its flow's record once in half
-// the idle time, if there are packets; who keeps a copy and hears nothing for
-// twice the idle time has lost the home or the flow.
+// The owner renews the replicas of a flow's record once in half of the idle time, if
+// the flow has packets. A member that keeps a replica and receives no renewal for twice
+// the idle time takes the owner or the flow for lost.
 const (
 	renewDivisor     = 2
 	backupIdleFactor = 2
 )
 
-// mustRenew reports whether the flow went on for half of its idle time since
-// those who keep copies last heard of it.
+// mustRenew reports whether half of the flow's idle time has passed since the replicas
+// of its record were last confirmed.
 func (w *packetWork) mustRenew(r *Record) bool {
 	limit := Seconds(w.service.IdleTimeout / time.Second)
-	return w.seconds > r.ConfirmedAt+limit/renewDivisor
+	return w.seconds > r.ReplicatedAt+limit/renewDivisor
 }
 
-// refresh sends a packet past all who keep the flow's record. It costs this one
-// packet a few hops and the control traffic nothing.
+// refresh sends a packet through all members that keep a replica of the flow's record.
+// This costs a few hops for this one packet, but no control traffic.
 func (e *Engine) refresh(w *packetWork, r *Record) Cause {
 	h := w.p.Header
 	h.Hop = replicateHop(e.self, r, 0)
@@ -33,18 +33,19 @@
 	}
 	w.view.AddReplicas(w.hash, &h.Hop)
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
-		r.ConfirmedAt = w.seconds
+		r.ReplicatedAt = w.seconds
 		return found
 	})
 	w.p.Header.Hop = h.Hop
 	return e.forwardRefresh(w)
 }
 
-// handleRefresh takes in the home's record from a packet on its way and passes it on.
+// handleRefresh stores the owner's record from a packet that passes through this
+// member, and sends the packet on.
 func (e *Engine) handleRefresh(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	owner := w.view.Member(peer.ID(hop.Owner))
-	var mine Record
+	var stored Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		if !found || r.State != StateCommitted || supersedes(hop, r) {
 			e.replace(r, remoteRecordOf(hop), w.seconds)
@@ -58,12 +59,12 @@
 				r.ReplicaTag = owner.Tag()
 			}
 		}
-		mine = *r
+		stored = *r
 		return true
 	})
-	if mine.Upstream != hop.Upstream {
+	if stored.Upstream != hop.Upstream {
 		e.Counters.Conflicts.Add(1)
-		e.sendToOwner(w, &mine)
+		e.sendToOwner(w, &stored)
 	}
 	return e.forwardRefresh(w)
 }
--- a/internal/connection/caller/replicate.go
+++ b/internal/connection/caller/replicate.go
@@ -6,13 +6,13 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// handleReplicate takes in a record that another member told, and tells back what holds
-// here if it was asked to. Datagrams get lost: a record counts as told only once
-// its receiver has said so.
+// handleReplicate stores a record that another member sent and, if asked to, sends back
+// the record that is valid here. Datagrams get lost, so the sender takes a record as
+// delivered only when the receiver has confirmed it.
 func (e *Engine) handleReplicate(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	sender := w.view.Member(peer.ID(hop.Owner))
-	var mine Record
+	var stored Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		if !found || r.State != StateCommitted || supersedes(hop, r) {
 			e.replace(r, remoteRecordOf(hop), w.seconds)
@@ -25,12 +25,12 @@
 		} else {
 			e.noteConfirmation(r, hop, sender, w.seconds)
 		}
-		mine = *r
+		stored = *r
 		return true
 	})
 	e.Counters.Learned.Add(1)
 	if hop.Has(geneve.FlagConfirm) && sender != nil {
-		e.sendRecord(w, sender.Data, &mine, (hop.Flags^geneve.FlagBackup)&geneve.FlagBackup)
+		e.sendRecord(w, sender.Data, &stored, (hop.Flags^geneve.FlagBackup)&geneve.FlagBackup)
 	}
 	return CauseNone
 }
@@ -40,14 +40,14 @@
 	e.markValid(r)
 	if sender != nil {
 		r.ReplicaTag = sender.Tag()
-		r.ConfirmedAt = now
+		r.ReplicatedAt = now
 		r.Flags &^= RecordUnconfirmed
 	}
 	if !hop.Has(geneve.FlagBackup) {
 		return
 	}
-	// Either the home renews the record of a flow that goes on, or it has
-	// confirmed that it is home.
+	// Either the owner renews the record of a flow that continues, or it confirms that
+	// it is the owner.
 	r.LastSeen = now
 	if hop.Has(geneve.FlagConfirm) {
 		return
@@ -57,8 +57,8 @@
 	r.Flags &^= RecordLocal
 }
 
-// supersedes reports whether a told record holds against one that is here: it is
-// of a later placing, or of the second placing of a TCP flow.
+// supersedes reports whether a received record replaces the one that is held here: it
+// is from a later placement, or from the second placement of a TCP flow.
 func supersedes(hop *geneve.Hop, r *Record) bool {
 	if hop.Upstream == r.Upstream {
 		return false
@@ -67,40 +67,40 @@
 	return hop.PlacedAt > r.PlacedAt || hop.PlacedAt == r.PlacedAt && retried
 }
 
-// remoteRecord is a record as another member knows it.
+// remoteRecord is a record as another member holds it.
 type remoteRecord struct {
-	upstream bundle.UpstreamID
-	placed   uint32
-	unsure   bool
-	retried  bool
+	upstream  bundle.UpstreamID
+	placedAt  uint32
+	uncertain bool
+	retried   bool
 }
 
 func remoteRecordOf(hop *geneve.Hop) remoteRecord {
 	return remoteRecord{
-		upstream: hop.Upstream,
-		placed:   hop.PlacedAt,
-		unsure:   hop.Has(geneve.FlagUncertain),
-		retried:  hop.Has(geneve.FlagRetried),
+		upstream:  hop.Upstream,
+		placedAt:  hop.PlacedAt,
+		uncertain: hop.Has(geneve.FlagUncertain),
+		retried:   hop.Has(geneve.FlagRetried),
 	}
 }
 
-// replace makes r the firm record that was told.
+// replace overwrites r with a committed record that another member sent.
 func (e *Engine) replace(r *Record, t remoteRecord, now Seconds) {
 	counted := r.Flags&RecordCounted != 0
 	e.uncount(r)
 	var flags RecordFlags
-	if t.placed == r.PlacedAt && r.State != StateEnded {
-		// The placing that was proposed here. Of an earlier one there may be requests
-		// that this daemon doesn't know.
+	if t.placedAt == r.PlacedAt && r.State != StateEnded {
+		// This is the placement that was proposed here. For an earlier placement there may
+		// be requests that this daemon doesn't know.
 		flags = r.Flags & (RecordLocal | RecordForwarded | RecordAnswered | RecordFinCaller | RecordFinUpstream)
 	}
 	if t.retried {
 		flags |= RecordRetried
 	}
-	if t.unsure {
+	if t.uncertain {
 		flags |= RecordUncertain
 	}
-	*r = Record{Upstream: t.upstream, State: StateCommitted, LastSeen: now, PlacedAt: t.placed, Flags: flags}
+	*r = Record{Upstream: t.upstream, State: StateCommitted, LastSeen: now, PlacedAt: t.placedAt, Flags: flags}
 	e.markValid(r)
 	if counted {
 		e.count(r)
--- a/internal/connection/caller/reply.go
+++ b/internal/connection/caller/reply.go
@@ -10,18 +10,20 @@
 	"github.com/fescueshed/fescueshed/internal/request/ip"
 )
 
-// refusal is why a daemon refuses a request, with when the caller may return.
+// refusal says after what time a refused caller may try again: after, plus a random
+// time up to spread.
 type refusal struct {
 	after, spread time.Duration
 }
 
-// Callers are told different times, so that they don't all return together.
+// The spread gives callers different times, so that they don't all try again together.
 var (
 	refusalBusy       = refusal{after: time.Second, spread: 2 * time.Second}
 	refusalNoUpstream = refusal{after: 5 * time.Second, spread: 5 * time.Second}
 )
 
-// refuse answers a call that was not passed on and says when to come back.
+// refuse answers a call that was not forwarded: a TCP segment with a reset, a CoAP
+// request with the time after which the caller may try again.
 func (e *Engine) refuse(w *packetWork, why refusal) Cause {
 	if w.p.IP.Protocol == ip.ProtocolTCP {
 		e.reset(w)
@@ -39,7 +41,8 @@
 	return CauseRefused
 }
 
-// replyUnknown answers a call that may have run with an replyUnknown outcome.
+// replyUnknown answers a request that may have run with the message that its outcome is
+// unknown.
 func (e *Engine) replyUnknown(w *packetWork) Cause {
 	b, err := coap.Unknown(&w.p.CoAP, messageID())
 	if err != nil {
--- a/internal/connection/caller/requests.go
+++ b/internal/connection/caller/requests.go
@@ -12,26 +12,28 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// MaxTransmitSpan is how long after its first transmission a caller may repeat
-// a confirmable message (RFC 7252, section 4.8.2).
+// MaxTransmitSpan is how long after its first transmission a caller may retransmit a
+// confirmable message (RFC 7252, section 4.8.2).
 const MaxTransmitSpan = 45 * time.Second
 
-// RequestState says where a request stands.
+// RequestState is the state of a request.
 type RequestState uint8
 
 // The states of a request.
 const (
-	// RequestOpen waits for its answer.
+	// RequestOpen is a request that waits for its answer.
 	RequestOpen RequestState = iota + 1
-	// RequestObserving is an observation that was answered and goes on.
+	// RequestObserving is an observation that was answered and continues.
 	RequestObserving
-	// RequestAnswered has its answer; repeated copies of it still pass.
+	// RequestAnswered is a request that has its answer. Retransmitted copies of the
+	// answer still pass.
 	RequestAnswered
-	// RequestExpired was answered by the daemon; its upstream may still work on it.
+	// RequestExpired is a request that the daemon answered at its deadline. Its
+	// upstream may still work on it.
 	RequestExpired
 )
 
-// Request is what the home knows of one request of a flow.
+// Request is what the owner of a flow records of one of its requests.
 type Request struct {
 	Upstream  bundle.UpstreamID
 	Opened    time.Time
@@ -48,8 +50,8 @@
 	token coap.Token
 }
 
-// Requests holds the requests of the flows that this daemon is home of. It is
-// safe for concurrent use: each shard has a mutex, no two are held at once.
+// Requests holds the requests of the flows that this daemon owns. It is safe for
+// concurrent use: each shard has a mutex, and no two of them are held at the same time.
 type Requests struct {
 	shards [numShards]requestShard
 	open   atomic.Int64
@@ -88,20 +90,22 @@
 	}
 }
 
-// admit decides whether a call of a CoAP service may go to its upstream.
+// admit decides whether a call of a CoAP service may be sent to its upstream, and opens
+// its request.
 func (e *Engine) admit(w *packetWork, rec *Record) Cause {
 	m := &w.p.CoAP
 	if w.service.Protocol != bundle.ProtocolCoAP || !m.IsRequest() {
 		return CauseNone
 	}
 	if rec.State == StateCommitted && !m.IsIdempotent() && w.mayHaveRunElsewhere(rec) {
-		// An earlier record of the flow may be lost, and with it the upstream to
-		// which this request went before: running it here could be the second run.
+		// An earlier record of the flow may be lost, and with it the upstream to which
+		// this request was sent before: running the request here could be its second
+		// run.
 		return e.replyUnknown(w)
 	}
 	if rec.State == StateTentative && rec.Flags&RecordUncertain != 0 && !m.IsIdempotent() {
-		// Those who are asked next decide: it goes on only to an upstream that had
-		// the flow before.
+		// The members that are queried next decide: the request continues only to an
+		// upstream that had the flow before.
 		return CauseNone
 	}
 	load := e.Loads.Load(rec.Upstream)
@@ -144,23 +148,24 @@
 	case cause == CauseRefused:
 		return e.refuse(w, refusalBusy)
 	case !reachable:
-		// The caller may reach the upstream's side of the cut with its next copy. If
-		// not, it is told at the deadline.
+		// The caller may reach the upstream's side of the network partition with its
+		// next copy. If not, it gets an answer at the deadline.
 		return CauseUnreachable
 	}
 	return CauseNone
 }
 
-// isFirstCopy reports whether a request that isn't known here was surely not let
-// through before. While members change, a caller's first copy may have gone
-// through another home, and "not run" would not be true of the next one.
+// isFirstCopy reports whether it is certain that no copy of a request that isn't
+// recorded here was forwarded before. While members change, a caller's first copy may
+// have passed through another owner, and a refusal of the next copy as not run would be
+// false.
 func (e *Engine) isFirstCopy(w *packetWork) bool {
-	pausedUntil := Seconds(e.resumedAt.Load()) + Seconds(MaxTransmitSpan/time.Second)
-	return !w.view.RepeatsPossible && (e.resumedAt.Load() == 0 || w.seconds > pausedUntil)
+	uncertainUntil := Seconds(e.resumedAt.Load()) + Seconds(MaxTransmitSpan/time.Second)
+	return !w.view.RepeatsPossible && (e.resumedAt.Load() == 0 || w.seconds > uncertainUntil)
 }
 
-// mayHaveRunElsewhere reports whether the caller may have sent this request before,
-// to the upstream of a lost record or to the other side of a cut.
+// mayHaveRunElsewhere reports whether the caller may have sent this request before, to
+// the upstream of a lost record or to the other side of a network partition.
 func (w *packetWork) mayHaveRunElsewhere(rec *Record) bool {
 	if rec.Flags&RecordUncertain == 0 {
 		return false
@@ -171,7 +176,7 @@
 	return time.Duration(unixSeconds(w.now)-rec.PlacedAt)*time.Second < MaxTransmitSpan
 }
 
-// releaseSlot frees what a request holds at its upstream.
+// releaseSlot releases the slot that a request holds at its upstream, if any.
 func (e *Engine) releaseSlot(r *Request) {
 	if r.holdsSlot {
 		r.holdsSlot = false
@@ -179,7 +184,7 @@
 	}
 }
 
-// closeRequest notes that a request isn't open any more.
+// closeRequest releases the request's slot and no longer counts it as open.
 func (e *Engine) closeRequest(r *Request) {
 	e.releaseSlot(r)
 	if r.State == RequestOpen {
@@ -187,7 +192,8 @@
 	}
 }
 
-// admitAnswer decides whether an answer of the flow's upstream may go to the caller.
+// admitAnswer decides whether an answer of the flow's upstream may be sent to the
+// caller.
 func (e *Engine) admitAnswer(w *packetWork, rec *Record) Cause {
 	m := &w.p.CoAP
 	if w.service.Protocol != bundle.ProtocolCoAP || !m.IsResponse() {
@@ -197,8 +203,8 @@
 	k := requestKey{flow: w.key, token: m.Token}
 	e.Requests.update(&k, w.hash, func(r *Request, found bool) bool {
 		if !found {
-			// A home that took the flow over doesn't know the requests from before;
-			// the upstream that holds the flow is then all there is to check.
+			// An owner that took the flow over doesn't know the earlier requests. Then
+			// only the upstream that holds the flow can be checked.
 			if rec.Flags&RecordLocal != 0 && !w.view.RecentlyChanged {
 				cause = CauseTokenNotOpen
 			}
@@ -231,12 +237,13 @@
 	return CauseNone
 }
 
-// mustNotRunTwice reports whether the packet is a request that must not run twice.
+// mustNotRunTwice reports whether the packet is a request that isn't idempotent.
 func (w *packetWork) mustNotRunTwice() bool {
 	return w.service.Protocol == bundle.ProtocolCoAP && w.p.CoAP.IsRequest() && !w.p.CoAP.IsIdempotent()
 }
 
-// expire answers requests whose deadline has passed and forgets old ones.
+// expire answers the requests of one shard whose deadline has passed and removes old
+// ones.
 func (e *Engine) expire(now time.Time, shard int, out []Output) []Output {
 	s := &e.Requests.shards[shard]
 	s.mu.Lock()
@@ -246,13 +253,13 @@
 		owner := view.Owner(k.flow.Hash())
 		switch {
 		case owner != nil && owner.ID != e.self:
-			// Another daemon is home now and lets the answer through.
+			// Another daemon is the owner now and forwards the answer.
 			e.closeRequest(&r)
 			delete(s.m, k)
 		case e.seenBeforePause(&r):
-			// While this process was paused, others were home: the answer has gone
-			// past it, and the slot would stay taken for nothing. If there was no
-			// answer, the caller's repetition opens the request again.
+			// While this process was paused, other members were the owner: the answer
+			// has passed through them, and the slot would stay taken for nothing. If
+			// there was no answer, the caller's retransmission opens the request again.
 			e.closeRequest(&r)
 			delete(s.m, k)
 		case r.State == RequestOpen && now.After(r.Deadline):
@@ -269,14 +276,15 @@
 	return out
 }
 
-// seenBeforePause reports whether a request was last seen before a pause of this process.
+// seenBeforePause reports whether a request was last seen before the last pause of this
+// process.
 func (e *Engine) seenBeforePause(r *Request) bool {
 	return uint32(e.seconds(r.LastSeen))+1 < e.resumedAt.Load()
 }
 
-// retention is how long a request is kept after its last packet. One that expired
-// holds its slot as long again as its deadline was: its upstream may still work
-// on it, but gives it up as well.
+// retention returns how long a request is kept after its last packet. An expired
+// request keeps its slot for as long again as its deadline was: its upstream may still
+// work on it, but gives up on it as well.
 func (e *Engine) retention(k *requestKey, r *Request) time.Duration {
 	t := e.routing.Load()
 	if r.State == RequestObserving && t != nil {
@@ -290,15 +298,16 @@
 	return MaxTransmitSpan
 }
 
-// answerExpired answers a request that got no answer in time: it may have run.
+// answerExpired answers a request that got no answer by its deadline with the message
+// that its outcome is unknown, because it may have run.
 func (e *Engine) answerExpired(k *requestKey, r *Request, out []Output) []Output {
 	w := packetWork{out: out, hash: k.flow.Hash(), p: &Packet{}}
 	w.p.Header.VNI = k.flow.VNI()
 	w.p.Header.EtherType = etherTypeOf(k.flow.CallerAddr().Addr())
 	w.p.IP.Src, w.p.IP.Dst = k.flow.CallerAddr(), k.flow.ServiceAddr()
 	w.p.CoAP = r.Message
-	// The upstream may have acknowledged the message already, so the answer is a
-	// separate one.
+	// The upstream may have acknowledged the message already, so this answer is a
+	// separate message.
 	w.p.CoAP.Type = message.NonConfirmable
 	e.Counters.Drops[e.replyUnknown(&w)].Add(1)
 	return w.out
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -10,27 +10,29 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// endedRetentionSeconds keeps a closed TCP flow for its last segments: twice the maximum
-// segment lifetime (RFC 9293, section 3.4.1) shortened as common systems do.
+// endedRetentionSeconds is how long the record of a closed TCP flow is kept for its
+// last segments: twice the maximum segment lifetime (RFC 9293, section 3.4.1),
+// shortened as common systems do.
 const endedRetentionSeconds = 60
 
-// proposalRetentionSeconds keeps a proposal for as long as a caller repeats its first message
-// (RFC 7252, MAX_TRANSMIT_SPAN).
+// proposalRetentionSeconds is how long a proposal is kept: as long as a caller
+// retransmits its first message (RFC 7252, MAX_TRANSMIT_SPAN).
 const proposalRetentionSeconds = 60
 
-// SweepResult says how far a sweep of a shard got.
+// SweepResult says how much of a shard a sweep completed.
 type SweepResult struct {
-	// AwaitingConfirmation counts the records that others were told and must confirm.
+	// AwaitingConfirmation is the number of records that were sent to members that must
+	// confirm them.
 	AwaitingConfirmation int
-	// Sent counts all that was told.
+	// Sent is the number of all records that were sent.
 	Sent int
-	// Complete is set if the budget sufficed for all of them.
+	// Complete is set if the budget was sufficient for all records.
 	Complete bool
 }
 
-// Sweep works through one shard: it ends idle flows and expired requests, and
-// tells records to the members that should have them now, at most budget of
-// them. It goes on telling a record in each sweep until the receiver confirms.
+// Sweep processes one shard: it removes idle flows, answers expired requests, and sends
+// records to the members that should hold them now, at most budget of them. It sends a
+// record again in each sweep until the receiver confirms it.
 func (e *Engine) Sweep(now time.Time, shard, budget int, out []Output) ([]Output, SweepResult) {
 	t := e.routing.Load()
 	if t == nil {
@@ -72,8 +74,8 @@
 	return true
 }
 
-// isIdle reports whether a record can go. A copy sees few of the flow's packets, so
-// it is kept until its home has stopped renewing it.
+// isIdle reports whether a record can be removed. A replica sees few of the flow's
+// packets, so it is kept until its owner has stopped renewing it.
 func (s *sweep) isIdle(svc *bundle.ServiceRoute, r *Record) bool {
 	limit := Seconds(svc.IdleTimeout / time.Second)
 	if r.State == StateEnded {
@@ -88,8 +90,8 @@
 	return s.now > r.LastSeen+limit
 }
 
-// replicate sees to it that home and backup both have the record. It returns false
-// for a record that has become no concern of this daemon.
+// replicate makes sure that both owner and backup have the record. It returns false if
+// this daemon no longer needs the record.
 func (s *sweep) replicate(k *Key, r *Record) bool {
 	u := s.routing.Upstream(r.Upstream)
 	h := k.Hash()
@@ -101,19 +103,19 @@
 		s.replicateAsOwner(k, r, u, h)
 		return true
 	}
-	keeps := s.view.IsReplica(h, owner.ID)
-	unconfirmed := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !keeps)
-	if owner.Tag() != r.ReplicaTag || unconfirmed {
+	isReplica := s.view.IsReplica(h, owner.ID)
+	mustConfirm := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !isReplica)
+	if owner.Tag() != r.ReplicaTag || mustConfirm {
 		s.sendRecord(k, r, owner.Data, geneve.FlagConfirm)
 		return true
 	}
-	// A former holder's record isn't renewed. Kept, it could one day speak for a
-	// flow that was placed again meanwhile.
-	return s.view.RecentlyChanged || keeps
+	// The record of a former replica isn't renewed. If it were kept, it could later be
+	// used for a flow that was placed again in the meantime.
+	return s.view.RecentlyChanged || isReplica
 }
 
-// replicateAsOwner tells the backup and the other zones what they lack since members
-// changed.
+// replicateAsOwner sends the record to the backup and to the replicas in the other
+// zones that lack it since members changed.
 func (s *sweep) replicateAsOwner(k *Key, r *Record, u *bundle.UpstreamRoute, h peer.FlowHash) {
 	if backup := s.view.Backup(h, u.Zone, s.view.Self); backup != nil && backup.Tag() != r.ReplicaTag {
 		s.sendRecord(k, r, backup.Data, geneve.FlagBackup|geneve.FlagConfirm)
@@ -121,10 +123,10 @@
 	if r.ReplicatedView == s.view.number {
 		return
 	}
-	next := s.view.previous != nil && r.ReplicatedView == max(1, s.view.number-1)
+	previousView := s.view.previous != nil && r.ReplicatedView == max(1, s.view.number-1)
 	for _, z := range s.view.Zones() {
 		m := s.view.Replica(h, z, s.view.Self)
-		if m == nil || z == u.Zone || next && s.hadReplica(h, z, m) {
+		if m == nil || z == u.Zone || previousView && s.hadReplica(h, z, m) {
 			continue
 		}
 		s.sendRecord(k, r, m.Data, geneve.FlagBackup)
@@ -134,15 +136,16 @@
 	}
 }
 
-// leaving reports whether this daemon hands its records over. The home of a
-// record that is unconfirmed may have another proposal, or none that holds.
+// leaving reports whether this daemon is leaving and hands its records over. Then it
+// also sends unconfirmed records: the owner of such a record may have another proposal,
+// or none that is valid.
 func (s *sweep) leaving() bool {
 	m := s.view.Member(s.view.Self)
 	return m != nil && m.State == peer.StateLeaving
 }
 
-// sendProposal passes a proposal on that only this daemon may still know: a firm
-// record of the flow can have died with its backup.
+// sendProposal sends a proposal that perhaps only this daemon still has: a committed
+// record of the flow may have been lost with its backup.
 func (s *sweep) sendProposal(k *Key, r *Record) {
 	h := k.Hash()
 	self := s.view.Member(s.view.Self)
@@ -156,8 +159,8 @@
 	}
 }
 
-// hadReplica reports whether m kept the zone's copy under the view before, so
-// that one change of a member doesn't have all flows told again.
+// hadReplica reports whether m kept the zone's replica under the previous view too, so
+// that one change of a member doesn't cause the records of all flows to be sent again.
 func (s *sweep) hadReplica(h peer.FlowHash, z bundle.Zone, m *peer.Member) bool {
 	old := s.view.previous.Replica(h, z, s.view.Self)
 	return old != nil && old.Tag() == m.Tag()
--- a/internal/connection/caller/table.go
+++ b/internal/connection/caller/table.go
@@ -11,19 +11,20 @@
 // Seconds is a time in whole seconds since the daemon's process started.
 type Seconds uint32
 
-// RecordState says how sure a record is.
+// RecordState says how far the placement of a flow is agreed.
 type RecordState uint8
 
 // The states of a record.
 const (
-	// StateTentative is a placing that no other member has confirmed yet.
+	// StateTentative is a proposed placement that no other member has confirmed yet.
 	StateTentative RecordState = iota + 1
-	// StateCommitted is a record that its backup knows, or that came from a holder.
+	// StateCommitted is a record that its backup has too, or that was received from a
+	// member that held it.
 	StateCommitted
-	// StateDeferred is a flow that isn't placed yet, since its home is beyond a cut and
-	// may have placed it there.
+	// StateDeferred is a flow that isn't placed yet, because its owner is on the other
+	// side of a network partition and may have placed it there.
 	StateDeferred
-	// StateEnded keeps a closed TCP flow for its last segments.
+	// StateEnded is a closed TCP flow whose record is kept for its last segments.
 	StateEnded
 )
 
@@ -32,71 +33,77 @@
 
 // The flags of a record.
 const (
-	// RecordBackup marks a record that is kept for another daemon.
+	// RecordBackup marks a record that is kept as a replica for another daemon.
 	RecordBackup RecordFlags = 1 << iota
-	// RecordUncertain marks a flow that was placed while an earlier record of it
-	// may have been lost.
+	// RecordUncertain marks a flow that was placed while an earlier record of it may
+	// have been lost.
 	RecordUncertain
-	// RecordForwarded marks a TCP flow of which a payload byte went to the upstream.
+	// RecordForwarded marks a TCP flow of which payload was forwarded to the upstream.
 	RecordForwarded
 	// RecordAnswered marks a flow whose upstream has answered.
 	RecordAnswered
 	// RecordRetried marks a TCP flow that was placed a second time.
 	RecordRetried
-	// RecordFinCaller and RecordFinUpstream mark the half-closed sides of TCP.
+	// RecordFinCaller and RecordFinUpstream mark a TCP flow whose caller or upstream
+	// has sent a FIN.
 	RecordFinCaller
 	RecordFinUpstream
-	// RecordCounted marks a record that counts as a flow in its upstream's load.
+	// RecordCounted marks a record that is counted as a flow in its upstream's load.
 	RecordCounted
-	// RecordLocal marks a flow that this daemon has decided for since its first
-	// packet, so that it knows all its open requests.
+	// RecordLocal marks a flow on which this daemon has decided since its first packet,
+	// so that it knows all its open requests.
 	RecordLocal
-	// RecordUnconfirmed marks a record whose home has proposed it but hasn't said
-	// that it holds.
+	// RecordUnconfirmed marks a record that its owner has proposed but not yet
+	// confirmed.
 	RecordUnconfirmed
 )
 
-// Record is what is known of one flow: 32 bytes beside its key of 40.
+// Record is what a member knows of one flow: 32 bytes beside its key of 40 bytes.
 type Record struct {
 	Upstream bundle.UpstreamID
-	// LastSeen is when the last packet passed.
+	// LastSeen is when the last packet of the flow passed, or the record was last
+	// renewed.
 	LastSeen Seconds
 	// PlacedAt is when the flow was placed, in seconds since 1970. A flow that was
-	// placed again, since its holders seemed dead, has two records until they
-	// meet; the later one holds.
+	// placed again because the members with its record seemed dead has two records
+	// until one member receives both; the later one is valid.
 	PlacedAt uint32
-	// ConfirmedAt is when the other holder last confirmed the record. While a flow is
-	// held it counts the packets held.
-	ConfirmedAt Seconds
-	// ReplicaTag is the tag of the other holder, home or backup, that has confirmed the
-	// record, or zero. While a flow is held it names the message held.
+	// ReplicatedAt is when the record was last sent to the members that keep its
+	// replicas, or confirmed by one of them. Until the placer of a new flow has
+	// replied, it is when the record was made. In a deferred flow it counts the copies
+	// of the message.
+	ReplicatedAt Seconds
+	// ReplicaTag is the tag of the other member, owner or backup, that has confirmed
+	// the record, or zero. In a deferred flow it identifies the message.
 	ReplicaTag uint32
 	Flags      RecordFlags
 	State      RecordState
-	// CheckedView and ReplicatedView are numbers of views: that under which the other
-	// holder was last found to be the right one, and that under which the other
-	// zones were told. They wrap; renewing the record mends what that hides.
+	// CheckedView and ReplicatedView are numbers of views: CheckedView of the view
+	// under which ReplicaTag was last found to be the right member, ReplicatedView of
+	// the view under which the record was sent to the replicas of the other zones. The
+	// numbers wrap; an update that is skipped because two views have the same number is
+	// made up for when the record is renewed.
 	CheckedView, ReplicatedView uint8
-	// PauseCount is the number of this process's pauses when the record was last
-	// known to hold.
+	// PauseCount is the number of this process's pauses, modulo 256, when the record
+	// was last known to be valid.
 	PauseCount uint8
 }
 
 const (
 	shardBits = 6
 	numShards = 1 << shardBits
-	// chunkRecords is how many entries a shard allocates at once, so that
-	// growing neither copies records nor doubles their memory.
+	// chunkRecords is how many entries a shard allocates together, so that growing
+	// neither copies records nor doubles their memory.
 	chunkBits    = 8
 	chunkRecords = 1 << chunkBits
 	minIndex     = 64
-	// An index is at most 4/5 full: linear probing stays short up to there.
+	// An index is at most 4/5 full; up to there linear probing needs few steps.
 	loadNum, loadDen = 4, 5
 )
 
-// slot is a place in an index: one more than the entry's number in the low 24
-// bits, and 8 bits of its hash above, so that probing reads no entry of another
-// key from memory. Zero is empty.
+// slot is an element of an index: one more than the entry's number in the low 24 bits,
+// and 8 bits of the entry's hash above them, so that probing seldom reads an entry of
+// another key from memory. Zero is empty.
 type slot uint32
 
 const (
@@ -118,9 +125,9 @@
 	rec Record
 }
 
-// Table holds records by key. It is safe for concurrent use: each shard has a
-// mutex, no two of which are held at once and none while anything else is
-// locked, so there is no lock order to break.
+// Table holds records by key. It is safe for concurrent use: each shard has a mutex. No
+// two of them are held at the same time, and none is taken while another lock is held,
+// so there is no lock order to observe.
 type Table struct {
 	shards [numShards]shard
 	count  atomic.Int64
@@ -161,9 +168,9 @@
 	return Record{}, false
 }
 
-// Update calls f with the record of a flow, or with a zero record and false if
-// there is none. The record is kept as f leaves it if f returns true, and
-// removed (or not made) if it returns false. f must not use the table.
+// Update calls f with the record of a flow, or with a zero record and false if there is
+// none. If f returns true, the record is stored as f leaves it; if f returns false, it
+// is removed or not created. f must not use the table.
 func (t *Table) Update(k *Key, h peer.FlowHash, f func(r *Record, found bool) bool) {
 	s := t.shard(h)
 	s.mu.Lock()
@@ -182,8 +189,8 @@
 	}
 }
 
-// Visit calls f for the records of one shard, numbered from 0 to Shards()-1, and
-// removes those for which it returns false.
+// Visit calls f for each record of one shard, numbered from 0 to Shards()-1, and
+// removes the records for which f returns false.
 func (t *Table) Visit(n int, f func(k *Key, r *Record) bool) {
 	s := &t.shards[n]
 	s.mu.Lock()
@@ -203,14 +210,14 @@
 	}
 }
 
-// Shards returns the number of parts that Visit takes.
+// Shards returns the number of shards.
 func (t *Table) Shards() int { return numShards }
 
 func (s *shard) entry(n uint32) *entry {
 	return &s.chunks[n>>chunkBits][n&(chunkRecords-1)]
 }
 
-// find returns the place of a key in the index, or -1.
+// find returns the position of a key in the index, or -1.
 func (s *shard) find(k *Key, h peer.FlowHash) int {
 	if len(s.index) == 0 {
 		return -1
@@ -224,8 +231,9 @@
 	return -1
 }
 
-// insert adds a record. It returns false if the shard holds as many as slots can
-// number, a billion in the whole table; the flow is then as one without record.
+// insert adds a record. It returns false if the shard holds as many records as a slot
+// can number, which is a billion in the whole table; the flow is then handled as one
+// without a record.
 func (s *shard) insert(k *Key, h peer.FlowHash, r Record) bool {
 	if s.count == maxEntries {
 		return false
@@ -273,8 +281,8 @@
 	}
 }
 
-// remove empties a place and moves later entries of the same run back, so that
-// probing never stops short of one.
+// remove empties a position and moves later entries of the same run back, so that
+// probing never stops before one of them.
 func (s *shard) remove(i int) {
 	s.free = append(s.free, s.index[i].entry())
 	s.count--
--- a/internal/connection/caller/tcp.go
+++ b/internal/connection/caller/tcp.go
@@ -7,8 +7,8 @@
 	return w.p.IP.Protocol == ip.ProtocolTCP && w.p.IP.TCPFlags&(ip.TCPSyn|ip.TCPAck) == ip.TCPSyn
 }
 
-// trackTCP notes what a segment does to its flow and reports whether it ended
-// it (RFC 9293, section 3.6): by RST, or by the second FIN.
+// trackTCP updates the record of a TCP flow from a segment. It reports whether the
+// segment ended the flow (RFC 9293, section 3.6): by RST, or by the second FIN.
 func (e *Engine) trackTCP(w *packetWork, r *Record) bool {
 	if w.p.IP.Protocol != ip.ProtocolTCP || r.State == StateEnded {
 		return false
@@ -23,8 +23,8 @@
 			r.Flags |= RecordFinCaller
 		}
 	}
-	both := RecordFinCaller | RecordFinUpstream
-	if w.p.IP.TCPFlags&ip.TCPRst == 0 && r.Flags&both != both {
+	bothFins := RecordFinCaller | RecordFinUpstream
+	if w.p.IP.TCPFlags&ip.TCPRst == 0 && r.Flags&bothFins != bothFins {
 		return false
 	}
 	if r.State != StateCommitted {
@@ -34,12 +34,13 @@
 	return true
 }
 
-// retryTCP places a flow once more whose SYN the upstream refused. That is safe
-// because no payload byte was forwarded and the upstream never accepted: the
-// caller's repeated SYN goes to the other upstream, and the RST is not passed on.
+// retryTCP places a flow a second time if the upstream refused its SYN with an RST.
+// That is safe because no payload byte was forwarded and the upstream never accepted
+// the connection: the caller's repeated SYN is sent to the other upstream, and the RST
+// is not forwarded.
 func (e *Engine) retryTCP(w *packetWork, r *Record) bool {
-	const tried = RecordForwarded | RecordAnswered | RecordRetried
-	if w.p.IP.Protocol != ip.ProtocolTCP || w.p.IP.TCPFlags&ip.TCPRst == 0 || r.Flags&tried != 0 {
+	const noRetry = RecordForwarded | RecordAnswered | RecordRetried
+	if w.p.IP.Protocol != ip.ProtocolTCP || w.p.IP.TCPFlags&ip.TCPRst == 0 || r.Flags&noRetry != 0 {
 		return false
 	}
 	u := e.chooseUpstream(w, r.Upstream)
@@ -54,7 +55,8 @@
 	return true
 }
 
-// reset answers a segment of a flow that nobody knows.
+// reset answers a segment that can't be forwarded with an RST, unless the segment is an
+// RST itself.
 func (e *Engine) reset(w *packetWork) Cause {
 	if w.p.IP.TCPFlags&ip.TCPRst != 0 {
 		return CauseNoFlow
--- a/internal/connection/geneve/geneve.go
+++ b/internal/connection/geneve/geneve.go
@@ -1,9 +1,9 @@
-// Package geneve reads and writes Geneve headers (RFC 8926) and the option that
-// daemons add to packets they pass to each other.
+// Package geneve encodes and decodes Geneve headers (RFC 8926) and the hop option that
+// daemons add to packets that they send to each other.
 //
-// The gopacket layer isn't used for reading on the packet path: it allocates
-// two objects for each option, and its 8-bit offset wraps at more than 247
-// bytes of options. It judges this codec in the tests instead.
+// The gopacket layer isn't used for decoding on the packet path: it allocates two
+// objects for each option, and its 8-bit offset overflows at more than 247 bytes of
+// options. The tests compare this codec with it instead.
 package geneve
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// EtherType is the protocol of the packet behind the header.
+// EtherType is the protocol of the inner packet.
 type EtherType uint16
 
-// The protocols that are carried.
+// The supported protocols of the inner packet.
 const (
 	EtherTypeIPv4 EtherType = 0x0800
 	EtherTypeIPv6 EtherType = 0x86dd
@@ -35,30 +35,33 @@
 	wordBytes         = 4
 )
 
-// The reasons for which a packet can't be read.
+// The errors that Decode returns.
 var (
 	ErrShort       = eris.New("geneve: packet is too short")
-	ErrVersion     = eris.New("geneve: unknown version")
+	ErrVersion     = eris.New("geneve: unsupported version")
 	ErrCritical    = eris.New("geneve: unknown critical option")
-	ErrEtherType   = eris.New("geneve: neither IPv4 nor IPv6 inside")
-	ErrHopOption   = eris.New("geneve: hop option is malformed")
-	ErrHopRepeated = eris.New("geneve: hop option stands twice")
+	ErrEtherType   = eris.New("geneve: inner packet is neither IPv4 nor IPv6")
+	ErrHopOption   = eris.New("geneve: malformed hop option")
+	ErrHopRepeated = eris.New("geneve: more than one hop option")
 )
 
 // Header is a decoded Geneve header. The zero value has no hop option.
 type Header struct {
 	VNI       bundle.VNI
 	EtherType EtherType
-	// Control marks a packet between daemons that must not be delivered.
+	// Control marks a packet between daemons whose inner packet must not be delivered
+	// to an upstream or a caller.
 	Control bool
-	// Hop is set if Hop.Kind isn't KindNone.
+	// Hop is the hop option. It is present if Hop.Kind isn't KindNone.
 	Hop Hop
-	// hopBytes is where the hop option's data stands, for the tag check.
+	// hopBytes is the data of the hop option in the decoded buffer, from which
+	// Key.Verify computes the tag.
 	hopBytes []byte
 }
 
-// Decode reads the header of b into h and returns the packet inside, which
-// aliases b. It doesn't allocate.
+// Decode decodes the header at the start of b into h and returns the inner packet,
+// which aliases b. It doesn't verify the tag of a hop option; see Key.Verify. It
+// doesn't allocate.
 func Decode(b []byte, h *Header) ([]byte, error) {
 	*h = Header{}
 	if len(b) < HeaderBytes {
@@ -103,7 +106,7 @@
 func (h *Header) decodeOption(b []byte) error {
 	ours := binary.BigEndian.Uint16(b) == hopClass && b[2]&^criticalType == hopType
 	if !ours {
-		// RFC 8926, section 3.5: a critical option that isn't known drops the packet.
+		// RFC 8926, section 3.5: a packet with an unknown critical option is dropped.
 		if b[2]&criticalType != 0 {
 			return ErrCritical
 		}
@@ -116,8 +119,9 @@
 	return h.Hop.decode(h.hopBytes)
 }
 
-// Append writes the header of h and the packet inner to b. A hop option is
-// signed with k. It doesn't allocate if b has room.
+// Append appends the header h and the packet inner to b and returns the extended slice.
+// A hop option is authenticated with k. Append doesn't allocate if b has enough
+// capacity.
 func Append(b []byte, h *Header, k *Key, inner []byte) []byte {
 	start := len(b)
 	b = append(b, 0, 0)
--- a/internal/connection/geneve/geneve_test.go
+++ b/internal/connection/geneve/geneve_test.go
@@ -25,7 +25,7 @@
 	key := geneve.NewKey([]byte("secret"))
 	inner := bytes.Repeat([]byte{0x60}, 80)
 
-	It("comes back as it was written, and gopacket reads the same", func() {
+	It("is decoded as it was encoded, and gopacket decodes the same", func() {
 		h := hopHeader()
 		b := geneve.Append(nil, &h, key, inner)
 		var got geneve.Header
@@ -36,15 +36,16 @@
 		Expect(got.VNI).To(Equal(h.VNI))
 		Expect(got.Control).To(BeTrue())
 		Expect(key.Verify(&got, rest)).To(BeTrue())
-		var judge layers.Geneve
-		Expect(judge.DecodeFromBytes(b, gopacket.NilDecodeFeedback)).To(Succeed())
-		Expect(judge.VNI).To(BeEquivalentTo(h.VNI))
-		Expect(judge.Payload).To(Equal(inner))
+		var reference layers.Geneve
+		Expect(reference.DecodeFromBytes(b, gopacket.NilDecodeFeedback)).To(Succeed())
+		Expect(reference.VNI).To(BeEquivalentTo(h.VNI))
+		Expect(reference.Payload).To(Equal(inner))
 	})
 
-	// A packet of one service is delivered to another. Somebody on the network
-	// changes a byte of a hop; the tag must not hold then.
-	It("doesn't verify once any byte of hop, VNI or inner headers was changed", func() {
+	// Guards against delivering a packet of one service to another: if anyone on the
+	// network changes a byte of the hop option, the VNI or the inner headers, the tag
+	// must not verify.
+	It("doesn't verify if any byte of the hop option, the VNI or the inner headers was changed", func() {
 		h := hopHeader()
 		b := geneve.Append(nil, &h, key, inner)
 		for i := 4; i < len(b)-len(inner)+48; i++ {
@@ -59,7 +60,7 @@
 		}
 	})
 
-	It("moves a holder to the end and keeps each once", func() {
+	It("lists each replica once and moves one to the end", func() {
 		var hop geneve.Hop
 		for _, id := range []uint64{1, 2, 3, 2} {
 			hop.AddReplica(id)
@@ -79,16 +80,16 @@
 		if err != nil {
 			return
 		}
-		const wrapsAbove = 240 // gopacket's offset has 8 bits.
-		if len(b)-len(inner) > wrapsAbove {
+		const maxBytesForGopacket = 240 // gopacket's offset has 8 bits.
+		if len(b)-len(inner) > maxBytesForGopacket {
 			return
 		}
-		var judge layers.Geneve
-		if err := judge.DecodeFromBytes(b, gopacket.NilDecodeFeedback); err != nil {
-			t.Fatalf("accepted what gopacket refuses: %v", err)
+		var reference layers.Geneve
+		if err := reference.DecodeFromBytes(b, gopacket.NilDecodeFeedback); err != nil {
+			t.Fatalf("accepted a packet that gopacket rejects: %v", err)
 		}
-		if uint32(got.VNI) != judge.VNI || !bytes.Equal(inner, judge.Payload) {
-			t.Fatalf("read VNI %d and %d bytes, gopacket %d and %d", got.VNI, len(inner), judge.VNI, len(judge.Payload))
+		if uint32(got.VNI) != reference.VNI || !bytes.Equal(inner, reference.Payload) {
+			t.Fatalf("decoded VNI %d and %d bytes, gopacket %d and %d", got.VNI, len(inner), reference.VNI, len(reference.Payload))
 		}
 	})
 }
--- a/internal/connection/geneve/hop.go
+++ b/internal/connection/geneve/hop.go
@@ -18,34 +18,39 @@
 	hopFixedBytes = 32
 	tagBytes      = 8
 	memberBytes   = 8
-	// MaxReplicas is how many members one hop option names at most.
+	// MaxReplicas is the largest number of members that one hop option can list.
 	MaxReplicas = 10
-	// signedInner is how much of the inner packet the tag covers: the IP and
-	// transport headers, which name the flow.
+	// signedInner is how many bytes of the inner packet the tag covers: the IP and
+	// transport headers, which identify the flow.
 	signedInner = 48
 )
 
-// Kind says what a daemon asks of the next one.
+// Kind says what a daemon asks the next daemon to do with the packet.
 type Kind uint8
 
 // The kinds of a hop.
 const (
-	// KindNone is the kind of a packet that no daemon has seen yet.
+	// KindNone is the kind of a packet without a hop option, which no daemon has
+	// handled yet.
 	KindNone Kind = iota
-	// KindForward asks the home to handle the packet.
+	// KindForward asks the owner of the flow to handle the packet.
 	KindForward
-	// KindQuery goes through the members that may hold the flow's record. One that
-	// has it delivers the packet and tells the home.
+	// KindQuery sends the packet through the members that may hold a replica of the
+	// flow's record. A member that has the record delivers the packet and sends the
+	// record to the owner.
 	KindQuery
-	// KindPlacementRequest asks the placer of the service for an upstream.
+	// KindPlacementRequest asks the placer of the service to choose an upstream.
 	KindPlacementRequest
-	// KindPlacementReply brings the packet back to the home with the upstream chosen.
+	// KindPlacementReply returns the packet to the owner with the upstream that the
+	// placer chose.
 	KindPlacementReply
-	// KindRefresh renews the flow's record at all who keep it, on the packet's way.
+	// KindRefresh renews the record at all members that keep a replica of it, while the
+	// packet passes through them on its way.
 	KindRefresh
-	// KindPropose tells a proposal, as KindLearn tells a record.
+	// KindPropose sends a proposal, as KindReplicate sends a record.
 	KindPropose
-	// KindReplicate tells a record and carries only the headers of a packet.
+	// KindReplicate sends a record. The inner packet has only the headers of a packet
+	// of the flow.
 	KindReplicate
 	kindEnd
 )
@@ -57,42 +62,45 @@
 const (
 	// FlagAnswer marks a packet from the upstream to the caller.
 	FlagAnswer Flags = 1 << iota
-	// FlagPlace lets the last member asked record the proposed upstream.
+	// FlagPlace allows the last member queried to commit the proposed upstream.
 	FlagPlace
-	// FlagUncertain says that every holder of the flow's record may have died. Of a
-	// record that is told, it says that it was made in such a case.
+	// FlagUncertain says that all replicas of the flow's record may have been lost. In
+	// a record that is sent, it says that the record was made in such a case.
 	FlagUncertain
-	// FlagBackup marks a record told to a backup, not to a home.
+	// FlagBackup marks a record that is sent to a backup and not to an owner.
 	FlagBackup
-	// FlagRetried marks the second placing of a TCP flow.
+	// FlagRetried marks the second placement of a TCP flow.
 	FlagRetried
-	// FlagConfirm asks who is told a record to tell it back.
+	// FlagConfirm asks the receiver of a record to send it back as a confirmation.
 	FlagConfirm
-	// FlagFoundUncertain says that the record in Found was made when every holder of
-	// an earlier one may have died.
+	// FlagFoundUncertain says that the record in Found was made when all replicas of an
+	// earlier record may have been lost.
 	FlagFoundUncertain
-	// FlagOverridden says that Upstream isn't what the home has proposed.
+	// FlagOverridden says that Upstream isn't the upstream that the owner proposed.
 	FlagOverridden
 )
 
-// Hop is the option between daemons.
+// Hop is the Geneve option that daemons add to packets that they send to each other.
 type Hop struct {
 	Kind  Kind
 	Flags Flags
-	// Count is how often the packet was passed between daemons.
+	// Count is how many times the packet was sent from one daemon to another.
 	Count uint8
-	// Upstream is who sent the answer, or the upstream proposed or recorded.
+	// Upstream is the upstream that sent the answer, or the upstream that is proposed
+	// or recorded for the flow.
 	Upstream bundle.UpstreamID
-	// Found is the newest record that those asked so far had, if there is doubt.
+	// Found is the upstream in the newest record that the members queried so far hold.
+	// It is set only if that record may be outdated and the remaining members must be
+	// queried too.
 	Found bundle.UpstreamID
-	// PlacedAt is when the flow was placed at Found, or at Upstream if that is zero,
-	// in seconds since 1970. Of two records of a flow the later one holds.
+	// PlacedAt is when the flow was placed at Found, or at Upstream if Found is zero,
+	// in seconds since 1970. Of two records of a flow the later one is valid.
 	PlacedAt uint32
-	// Owner is the member that is told who has the record.
+	// Owner is the member that receives the record from the member that has it.
 	Owner uint64
-	// Replicas are the members yet to be asked, the next one first.
+	// Replicas are the members that the packet still has to visit, the next one first.
 	Replicas [MaxReplicas]uint64
-	// NumReplicas is how many of Holders are set.
+	// NumReplicas is the number of entries in use in Replicas.
 	NumReplicas uint8
 }
 
@@ -101,7 +109,8 @@
 	return h.Flags&flags == flags
 }
 
-// AddReplica appends a member that isn't there yet, as far as there is room.
+// AddReplica appends a member to Replicas. It does nothing if the member is already
+// listed or Replicas is full.
 func (h *Hop) AddReplica(id uint64) {
 	for _, have := range h.Replicas[:h.NumReplicas] {
 		if have == id {
@@ -115,7 +124,8 @@
 	h.NumReplicas++
 }
 
-// MoveLast puts a member at the end of the list, whether or not it is there.
+// MoveLast moves a member to the end of Replicas, or adds it there. If Replicas is
+// full, the member replaces the last one.
 func (h *Hop) MoveLast(id uint64) {
 	kept := h.Replicas[:0]
 	for _, have := range h.Replicas[:h.NumReplicas] {
@@ -130,7 +140,8 @@
 	h.NumReplicas = uint8(len(kept))
 }
 
-// NextReplica takes the first holder off the list.
+// NextReplica removes the first member from Replicas and returns it. It returns false
+// if Replicas is empty.
 func (h *Hop) NextReplica() (uint64, bool) {
 	if h.NumReplicas == 0 {
 		return 0, false
@@ -182,7 +193,7 @@
 	return binary.BigEndian.AppendUint64(b, k.tag(vni, b[start:], inner))
 }
 
-// Key authenticates hops between the daemons of one installation.
+// Key authenticates hop options between the daemons of one installation.
 type Key struct {
 	k0, k1 uint64
 }
@@ -196,8 +207,9 @@
 	}
 }
 
-// Verify reports whether the hop of h was written with the key for this inner
-// packet. A packet without a hop doesn't verify.
+// Verify reports whether the hop option of h, which Decode filled, was written with
+// this key for this VNI and inner packet. It returns false for a packet without a hop
+// option.
 func (k *Key) Verify(h *Header, inner []byte) bool {
 	n := len(h.hopBytes) - tagBytes
 	if n < 0 {
--- a/internal/connection/metadata/platform.go
+++ b/internal/connection/metadata/platform.go
@@ -1,5 +1,6 @@
-// Package metadata is what a daemon that carries flows by cookie asks of the platform around it: how packets are
-// written, the metadata store and its kinds of objects, and who asks whether it is ready. An adapter implements it.
+// Package metadata defines what a daemon that forwards flows by cookie needs from the platform around it: the
+// packet format, the metadata store with its kinds of objects, and the readiness check. An adapter implements
+// it.
 package metadata
 
 import (
@@ -12,19 +13,21 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// Platform is how a daemon speaks to what is around it.
+// Platform is a daemon's interface to the platform around it.
 type Platform struct {
 	Packets cookie.Codec
-	// Store makes the calls that the feeds are read by.
+	// Store makes the calls to the metadata store through which the feeds are read.
 	Store         *objects.Client
 	Bundles       objects.ListWatcher[bundle.Accepted]
 	Registrations objects.ListWatcher[registry.Registration]
-	// Evacuations has an object for each evacuated zone.
+	// Evacuations has one object for each evacuated zone.
 	Evacuations objects.ListWatcher[bundle.Zone]
-	// Contacts is the object by which daemons find each other.
+	// Contacts is the object through which daemons discover each other.
 	Contacts objects.SingleObject[peer.Contacts]
-	// Readiness makes the handler that routers ask.
+	// Readiness returns the HTTP handler for the routers' readiness checks. The handler calls ready to learn
+	// whether the daemon is ready.
 	Readiness func(ready func() bool) http.Handler
-	// HealthID reads from a health answer which upstream gave it, zero if unknown.
+	// HealthID returns which upstream sent a health check response, from the response's header. It returns zero
+	// if that is unknown.
 	HealthID func(http.Header) bundle.UpstreamID
 }
