--- a/internal/connection/caller/bench_test.go
+++ b/internal/connection/caller/bench_test.go
@@ -25,9 +25,9 @@
 	benchStep  = 7919
 )
 
-// benchPacket is a call in a buffer that is in the processor's cache, as one
-// that was just received is. An empty CoAP acknowledgement is the most common
-// packet of a feed; it opens no request.
+// benchPacket is a call in a buffer that is in the processor's cache, like a packet
+// that was just received. An empty CoAP acknowledgement is the most common packet of an
+// observation; it opens no request.
 type benchPacket struct {
 	b []byte
 }
@@ -41,7 +41,7 @@
 	return &benchPacket{b: geneve.Append(nil, &h, nil, b)}
 }
 
-// flow makes the packet one of flow i and returns it.
+// flow turns the packet into one of flow i and returns its bytes.
 func (p *benchPacket) flow(i int) []byte {
 	const sourceAddress = geneve.HeaderBytes + 12
 	i %= benchFlows
@@ -58,7 +58,7 @@
 	return e, c.key
 }
 
-// BenchmarkDecide decodes a packet, finds its record and decides, on all cores.
+// BenchmarkDecide decodes a packet, finds its record and decides on it, on all cores.
 func BenchmarkDecide(b *testing.B) {
 	e, key := benchEngine(1)
 	now := clusterT0.Add(time.Second)
@@ -93,8 +93,8 @@
 	})
 }
 
-// BenchmarkDecideForward is the same at an ingress that passes the packet to its
-// home, one of nine.
+// BenchmarkDecideForward does the same at a member that forwards the packet to its
+// owner, one of nine members.
 func BenchmarkDecideForward(b *testing.B) {
 	e, key := benchEngine(9)
 	now := clusterT0.Add(time.Second)
@@ -115,8 +115,8 @@
 	})
 }
 
-// BenchmarkDecideNaive is what one would write first: gopacket.NewPacket, hash
-// modulo n, and one map under one mutex.
+// BenchmarkDecideNaive is a simple implementation for comparison: gopacket.NewPacket,
+// hash modulo n, and one map under one mutex.
 func BenchmarkDecideNaive(b *testing.B) {
 	var mu sync.Mutex
 	flows := make(map[string]string)
@@ -140,7 +140,7 @@
 	})
 }
 
-// BenchmarkPlace decides for the first packet of a flow.
+// BenchmarkPlace decides on the first packet of a flow.
 func BenchmarkPlace(b *testing.B) {
 	e, key := benchEngine(1)
 	now := clusterT0.Add(time.Second)
@@ -157,7 +157,7 @@
 	}
 }
 
-// BenchmarkRank finds a home among members of one cell.
+// BenchmarkRank finds the owner of a flow among members in three zones.
 func BenchmarkRank(b *testing.B) {
 	for _, n := range []int{9, 32, 100, 1600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -173,7 +173,7 @@
 	}
 }
 
-// BenchmarkTableMemory holds half a million flows and reports bytes per flow.
+// BenchmarkTableMemory stores half a million records and reports the bytes per flow.
 func BenchmarkTableMemory(b *testing.B) {
 	const flows = 500_000
 	for b.Loop() {
@@ -196,7 +196,7 @@
 	}
 }
 
-// BenchmarkRequest decides for a request and its answer.
+// BenchmarkRequest decides on a request and its answer.
 func BenchmarkRequest(b *testing.B) {
 	e, key := benchEngine(1)
 	now := clusterT0.Add(time.Second)
--- a/internal/connection/caller/cluster_test.go
+++ b/internal/connection/caller/cluster_test.go
@@ -32,13 +32,13 @@
 	clusterT0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// run is a request that reached an upstream.
+// run is one request that reached an upstream.
 type run struct {
 	upstream string
 	body     string
 }
 
-// node is one engine with what others know of it.
+// node is one engine with its member entry in the views of the others.
 type node struct {
 	member peer.Member
 	engine *caller.Engine
@@ -48,8 +48,8 @@
 	fresh  bool
 }
 
-// cluster connects engines by links in memory. Views change only when told to,
-// so a test decides who knows what and when.
+// cluster connects engines by simulated links. Views change only by explicit calls, so
+// a test decides what each node knows at what time.
 type cluster struct {
 	now     time.Time
 	key     *geneve.Key
@@ -63,12 +63,13 @@
 
 	queue    []caller.Output
 	queueSrc []netip.Addr
-	// upstreamGot and callerGot are what reached the ends.
+	// upstreamGot and callerGot are the packets that reached upstreams and the caller.
 	upstreamGot []run
 	callerGot   []message.Message
 	resets      int
 	hops        int
-	// controlPackets counts packets that carry a record and no caller's bytes.
+	// controlPackets counts packets between nodes that carry a record and none of the
+	// caller's bytes.
 	controlPackets int
 }
 
@@ -125,7 +126,7 @@
 	n.engine.SetRouting(c.routing)
 }
 
-// syncViews gives each node that is up the same view of those that are.
+// syncViews gives each node that is up a view of all nodes that are up.
 func (c *cluster) syncViews(recent bool) {
 	var members []peer.Member
 	for _, n := range c.nodes {
@@ -151,13 +152,13 @@
 	return ch
 }
 
-// kill ends a node without notice.
+// kill stops a node without a handover.
 func (c *cluster) kill(n *node) {
 	n.up = false
 	c.lost = append(c.lost, n.member)
 }
 
-// sweep lets each node work through all its records twice.
+// sweep lets each node sweep all its records twice.
 func (c *cluster) sweep() {
 	for range 2 {
 		for _, n := range c.nodes {
@@ -185,7 +186,7 @@
 	}
 }
 
-// deliver carries packets until none is under way.
+// deliver transmits packets until none is in transit.
 func (c *cluster) deliver() {
 	for len(c.queue) > 0 {
 		o, src := c.queue[0], c.queueSrc[0]
@@ -268,16 +269,16 @@
 	c.callerGot = append(c.callerGot, m)
 }
 
-// replicas returns the nodes whose records a flow lives by: firm ones, and its
-// home's proposal.
+// replicas returns the nodes whose records the flow depends on: those with a committed
+// record, and the owner with its proposal.
 func (c *cluster) replicas(r request) []*node {
 	return c.nodesWith(r, func(rec *caller.Record) bool {
 		return rec.State == caller.StateCommitted || rec.State == caller.StateTentative && rec.Flags&caller.RecordBackup == 0
 	})
 }
 
-// nodesWithUpstream returns the nodes that know the flow's upstream at all: holders, those
-// that the first packet passed, and the one that chose.
+// nodesWithUpstream returns all nodes that have the flow's upstream in a record:
+// replicas, those that the first packet passed through, and the placer.
 func (c *cluster) nodesWithUpstream(r request) []*node {
 	return c.nodesWith(r, func(rec *caller.Record) bool { return rec.State != caller.StateEnded })
 }
@@ -294,7 +295,7 @@
 	return out
 }
 
-// others returns a node that is up and not among those given.
+// other returns a node that is up and not among those given.
 func (c *cluster) other(not ...*node) *node {
 	for _, n := range c.nodes {
 		if n.up && !n.paused && !slices.Contains(not, n) {
@@ -304,14 +305,14 @@
 	panic("no other node")
 }
 
-// ownerOf returns the node that is home of a flow in the first node's view.
+// ownerOf returns the owner of a flow in the first node's view.
 func (c *cluster) ownerOf(r request) *node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
 	return c.nodeAt(c.nodes[0].engine.View().Owner(k.Hash()).Data.Addr())
 }
 
-// flowsAt returns how many flows of a service all nodes count together.
+// flowsAt returns the sum of the flows of a service that all nodes count.
 func (c *cluster) flowsAt(service string) int64 {
 	var sum int64
 	for _, n := range c.nodes {
@@ -324,8 +325,8 @@
 	return sum
 }
 
-// skewLoads makes each node prefer other upstreams, so that two nodes don't
-// choose the same one by chance.
+// skewLoads gives each node different loads, so that two nodes don't choose the same
+// upstream by chance.
 func (c *cluster) skewLoads() {
 	for i, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
@@ -334,7 +335,7 @@
 	}
 }
 
-// firstPacketPath returns the nodes that the first packet of a flow goes past.
+// firstPacketPath returns the nodes through which the first packet of a flow passes.
 func (c *cluster) firstPacketPath(r request) []*node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
@@ -348,7 +349,8 @@
 	return out
 }
 
-// callWithRetry sends a request as its caller does: once more if no upstream got it.
+// callWithRetry sends a request as its caller does: a second time if no upstream got
+// it.
 func (c *cluster) callWithRetry(n *node, r request) []string {
 	u := c.call(n, r)
 	if len(u) > 0 {
--- a/internal/connection/caller/differential_test.go
+++ b/internal/connection/caller/differential_test.go
@@ -13,16 +13,16 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// reference is one place with all knowledge: it notes which upstream got the first
+// reference is a model with complete knowledge: it records which upstream got the first
 // packet of each flow, and every run of each request.
 type reference struct {
 	upstream map[flowID]string
 	runs     map[string]int
 	refused  map[string]bool
-	// lost are flows whose holders all died: they may be placed again.
+	// lost are flows of which all replicas were lost: they may be placed again.
 	lost map[flowID]bool
-	// split are flows that were new while the network was cut: both sides may
-	// have placed them.
+	// split are flows that were new during a network partition: both sides may have
+	// placed them.
 	split map[flowID]bool
 }
 
@@ -31,7 +31,7 @@
 	flow uint16
 }
 
-// model drives the engines and the naive version with the same events.
+// model drives the engines and the reference with the same events.
 type model struct {
 	t           *rapid.T
 	c           *cluster
@@ -73,8 +73,8 @@
 	return up[rapid.IntRange(0, len(up)-1).Draw(m.t, "node")]
 }
 
-// request sends a request in at any node, perhaps more than once, and its
-// answer back through any other.
+// request sends a request to any node, perhaps more than once, and its answer through
+// any node.
 func (m *model) request() {
 	r := m.draw()
 	f := flowID{r.vni, r.flow}
@@ -95,12 +95,12 @@
 	m.c.now = m.c.now.Add(200 * time.Millisecond)
 }
 
-// checkRun compares where a request got to with what the naive version knows.
+// checkRun compares the upstream that got a request with the records of the reference.
 func (m *model) checkRun(r request, upstream string) {
 	f := flowID{r.vni, r.flow}
 	want, known := m.reference.upstream[f]
 	if known && want != upstream && !m.reference.lost[f] && !m.reference.split[f] {
-		m.t.Fatalf("flow %v went to %s, its upstream is %s", f, upstream, want)
+		m.t.Fatalf("flow %v reached %s, its upstream is %s", f, upstream, want)
 	}
 	m.reference.upstream[f] = upstream
 	delete(m.reference.lost, f)
@@ -108,8 +108,8 @@
 	if !strings.HasPrefix(upstream, service) {
 		m.t.Fatalf("a packet of VNI %d reached %s", r.vni, upstream)
 	}
-	// An upstream drops a message that it had before, so only another one runs it
-	// a second time.
+	// An upstream drops a message that it has received before, so only another upstream
+	// can run it a second time.
 	key := fmt.Sprintf("%d/%s", r.id, upstream)
 	if r.code == codes.POST && m.reference.runs[key] == 0 {
 		m.reference.runs[key] = 1
@@ -123,21 +123,21 @@
 	}
 }
 
-// checkReplies checks what the caller got. A refusal is final, so the caller repeats
-// nothing after it.
+// checkReplies checks the answers that the caller got. A refusal is final: the caller
+// doesn't repeat the request after it.
 func (m *model) checkReplies(r request, from int) {
 	for _, a := range m.c.callerGot[from:] {
 		if a.Token[0] != r.token {
 			m.t.Fatalf("request %d got the answer to token %d", r.id, a.Token[0])
 		}
 		if a.Code == codes.ServiceUnavailable && m.reference.runs[fmt.Sprint(r.id)] > 0 {
-			m.t.Fatalf("request %d was refused as not run, and ran", r.id)
+			m.t.Fatalf("request %d was refused as not run, but ran", r.id)
 		}
 	}
 }
 
-// kill ends a host without notice. The naive version marks the flows whose
-// holders are all gone.
+// kill stops a host without a handover. The reference marks the flows of which no
+// replica is left.
 func (m *model) kill() {
 	up := 0
 	for _, n := range m.c.nodes {
@@ -150,7 +150,7 @@
 	}
 	n := m.node()
 	m.c.kill(n)
-	m.t.Logf("%s dies", n.member.Name)
+	m.t.Logf("%s is killed", n.member.Name)
 	for f := range m.reference.upstream {
 		if len(m.c.replicas(request{vni: f.vni, flow: f.flow})) == 0 {
 			m.reference.lost[f] = true
@@ -171,7 +171,7 @@
 	}
 }
 
-// replace stops a host gracefully and starts it anew.
+// replace stops a host with a handover and starts it again.
 func (m *model) replace() {
 	n := m.node()
 	m.t.Logf("%s is replaced", n.member.Name)
@@ -190,8 +190,8 @@
 
 func (m *model) sweep() { m.c.sweep() }
 
-// partitionOrHeal cuts zone a off, or heals the cut. What was told before the cut has
-// arrived everywhere.
+// partitionOrHeal separates zone a from the others, or ends the partition. All records
+// sent before the partition have arrived.
 func (m *model) partitionOrHeal() {
 	if m.partitioned {
 		m.partitioned = false
@@ -205,7 +205,8 @@
 	m.c.partition()
 }
 
-// expireRecentChanges lets so much time pass that nothing counts as recent any more.
+// expireRecentChanges lets enough time pass that no change of the members counts as
+// recent any more.
 func (m *model) expireRecentChanges() {
 	for range 60 {
 		m.c.now = m.c.now.Add(900 * time.Millisecond)
@@ -221,27 +222,27 @@
 	m.c.syncViews(false)
 }
 
-var _ = Describe("Engines, against one place with all knowledge,", func() {
+var _ = Describe("Engines, compared with a reference with complete knowledge,", func() {
 	for name, events := range map[string]func(m *model) []func(){
-		"break no flow by planned change": func(m *model) []func() {
+		"don't break a flow when hosts are replaced": func(m *model) []func() {
 			return []func(){m.request, m.request, m.request, m.request, m.replace, m.sweep, m.expireRecentChanges}
 		},
-		"run nothing twice and mix nothing up when hosts die": func(m *model) []func() {
+		"run no request twice and confuse no services when hosts are killed": func(m *model) []func() {
 			return []func(){m.request, m.request, m.request, m.request, m.kill, m.restart, m.sweep, m.expireRecentChanges}
 		},
-		"keep to one upstream and one run on both sides of a cut": func(m *model) []func() {
+		"keep a flow at one upstream and run a request once on both sides of a network partition": func(m *model) []func() {
 			return []func(){m.request, m.request, m.request, m.request, m.sweep, m.partitionOrHeal}
 		},
-		"hold under planned change and death together": func(m *model) []func() {
+		"keep these properties when hosts are both replaced and killed": func(m *model) []func() {
 			return []func(){m.request, m.request, m.request, m.kill, m.restart, m.replace, m.sweep, m.expireRecentChanges}
 		},
 	} {
 		It(name, func() {
 			rapid.Check(GinkgoT(), func(t *rapid.T) {
 				m := newModel(t, 6)
-				list := events(m)
+				actions := events(m)
 				for range rapid.IntRange(5, 60).Draw(t, "events") {
-					list[rapid.IntRange(0, len(list)-1).Draw(t, "event")]()
+					actions[rapid.IntRange(0, len(actions)-1).Draw(t, "event")]()
 				}
 			})
 		})
--- a/internal/connection/caller/endpoints_test.go
+++ b/internal/connection/caller/endpoints_test.go
@@ -44,8 +44,8 @@
 	return map[bundle.VNI]netip.AddrPort{vniOrders: ordersAt, vniArchive: archiveAt, vniStream: streamAt}[v]
 }
 
-// call sends a request in at node n and lets everything that follows happen. It
-// returns the upstreams that got the request.
+// call sends a request to node n, runs all that follows from it, and returns the
+// upstreams that got the request.
 func (c *cluster) call(n *node, r request) []string {
 	before := len(c.upstreamGot)
 	inner, err := ip.BuildUDP(callerAt(r.flow), serviceAt(r.vni), r.payload())
@@ -60,8 +60,8 @@
 	return names
 }
 
-// answer sends an upstream's answer in at node n and reports whether it reached
-// the caller.
+// answer sends an upstream's answer to node n and reports whether it reached the
+// caller.
 func (c *cluster) answer(n *node, upstream string, r request) bool {
 	before := len(c.callerGot)
 	m := message.Message{Type: message.Acknowledgement, Code: codes.Content, MessageID: int32(r.id), Token: []byte{r.token}}
@@ -78,7 +78,8 @@
 	return len(c.callerGot) > before
 }
 
-// exchange sends a request in at node n and lets its upstream answer it.
+// exchange sends a request to node n and the answers of the upstreams that got it. It
+// returns these upstreams.
 func (c *cluster) exchange(n *node, r request) []string {
 	u := c.call(n, r)
 	for _, name := range u {
@@ -103,8 +104,7 @@
 	return cause
 }
 
-// segment sends a caller's TCP segment in at node n and returns the upstreams
-// that got it.
+// segment sends a caller's TCP segment to node n and returns the upstreams that got it.
 func (c *cluster) segment(n *node, p ip.Packet, payload string) []string {
 	before := len(c.upstreamGot)
 	c.inject(n, fabricAt.Addr(), vniStream, tcpBytes(p.Src, p.Dst, p.TCPFlags, payload))
@@ -115,7 +115,7 @@
 	return names
 }
 
-// segmentFromUpstream sends a segment with the same flags from an upstream.
+// segmentFromUpstream sends a segment with the same flags from an upstream to node n.
 func (c *cluster) segmentFromUpstream(n *node, upstream string, p ip.Packet) {
 	c.inject(n, c.upstreamAddr(upstream), vniStream, tcpBytes(p.Dst, p.Src, p.TCPFlags, ""))
 }
--- a/internal/connection/caller/flow_test.go
+++ b/internal/connection/caller/flow_test.go
@@ -28,22 +28,22 @@
 		}
 	})
 
-	It("has a holder in each zone, and another one in its home's", func() {
+	It("has a record in each zone, and another one in its owner's zone", func() {
 		u := c.call(c.nodes[0], post)
-		holders := c.nodesWithUpstream(post)
-		Expect(len(holders)).To(BeNumerically(">=", 4))
-		zonesOfHolders := make([]any, 0, len(holders))
-		for _, h := range holders {
-			zonesOfHolders = append(zonesOfHolders, h.member.Zone)
+		replicas := c.nodesWithUpstream(post)
+		Expect(len(replicas)).To(BeNumerically(">=", 4))
+		zonesWithRecord := make([]any, 0, len(replicas))
+		for _, h := range replicas {
+			zonesWithRecord = append(zonesWithRecord, h.member.Zone)
 		}
 		for _, route := range c.routing.Upstreams() {
 			if route.Name == u[0] {
-				Expect(zonesOfHolders).To(ContainElement(route.Zone))
+				Expect(zonesWithRecord).To(ContainElement(route.Zone))
 			}
 		}
 	})
 
-	It("costs no packet of its own to be recorded", func() {
+	It("is recorded without extra packets", func() {
 		for flow := range uint16(100) {
 			r := post
 			r.flow = 5000 + flow
@@ -53,7 +53,7 @@
 		Expect(c.controlPackets).To(BeZero())
 	})
 
-	It("needs one hop more than its packets in the mean at most", func() {
+	It("needs at most one extra hop per packet on average", func() {
 		for flow := range uint16(200) {
 			r := post
 			r.flow = 5000 + flow
@@ -70,10 +70,10 @@
 		Expect(float64(c.hops) / (2 * packets)).To(BeNumerically("<=", 1))
 	})
 
-	// A secretary's session goes on after a balancer died without notice. The
-	// home dies; the next packet reaches the next in rank, which has no record
-	// and asks the backup.
-	It("survives the death of any one holder", func() {
+	// Guards against losing a flow when a balancer is killed. The owner is killed; the
+	// next packet reaches the next member in rank, which has no record and queries the
+	// backup.
+	It("survives the loss of any one replica", func() {
 		for i := range 4 {
 			c = newCluster(9)
 			u := c.call(c.nodes[0], post)
@@ -87,10 +87,10 @@
 		}
 	})
 
-	// A session breaks when balancers die one after the other, minutes apart. The
-	// first holder dies; unless its place is filled again, the second death
-	// loses the record.
-	It("survives the death of one holder after the other", func() {
+	// Guards against losing a flow when balancers are killed one after the other,
+	// minutes apart. Unless the first lost replica is replaced, the second kill loses
+	// the record.
+	It("survives the loss of one replica after the other", func() {
 		u := c.exchange(c.nodes[0], post)
 		for i := range 6 {
 			c.kill(c.replicas(post)[0])
@@ -103,8 +103,8 @@
 		}
 	})
 
-	// Each host is replaced in turn while a feed stays open. A leaving balancer
-	// hands its records over; the new process knows nothing.
+	// Guards against losing a flow when each host is replaced in turn. A leaving
+	// balancer hands its records over; the new process has no records.
 	It("survives the replacement of every host", func() {
 		u := c.exchange(c.nodes[0], post)
 		for i, n := range c.nodes {
@@ -125,10 +125,10 @@
 		}
 	})
 
-	// A session moves to another upstream in mid-life. A host is killed and is
-	// back before anyone noticed; it is home again but knows nothing, and must
-	// not take the flow for a new one.
-	It("isn't placed again by a home that restarted unnoticed", func() {
+	// Guards against placing an existing flow again. A host is killed and restarts
+	// before others detect it; it is the owner again but has no records, and must not
+	// take the flow for new.
+	It("isn't placed again by an owner whose restart wasn't detected", func() {
 		u := c.exchange(c.nodes[0], post)
 		r := post
 		c.idle(2 * time.Second)
@@ -144,10 +144,10 @@
 		}
 	})
 
-	// A booking runs twice. Home and backup die together after the booking ran
-	// but before its answer; the caller repeats it, and a balancer that takes it
-	// for new sends it to another upstream.
-	It("answers that the outcome is unknown if all holders died", func() {
+	// Guards against running a request twice. Owner and backup are killed together
+	// after the request ran but before its answer; the caller repeats it, and a
+	// balancer that takes it for new would send it to another upstream.
+	It("answers that the outcome is unknown if all replicas were lost", func() {
 		u := c.call(c.nodes[0], post)
 		Expect(u).To(HaveLen(1))
 		for _, h := range c.nodesWithUpstream(post) {
@@ -159,7 +159,7 @@
 		Expect(c.callerGot[0].Code).To(Equal(codes.GatewayTimeout))
 	})
 
-	It("goes on with idempotent requests though all holders died", func() {
+	It("continues with idempotent requests after all replicas were lost", func() {
 		c.call(c.nodes[0], post)
 		for _, h := range c.nodesWithUpstream(post) {
 			c.kill(h)
@@ -169,9 +169,9 @@
 		Expect(c.call(c.other(), get)).To(HaveLen(1))
 	})
 
-	// A feed falls silent for good. All holders of its record died; the upstream
-	// goes on sending, and its own packets are the proof of who holds the flow.
-	It("is found again from its upstream's answers if all holders died", func() {
+	// Guards against losing a flow whose replicas were all lost. The upstream keeps
+	// sending, and its packets show which upstream holds the flow.
+	It("is recovered from its upstream's answers after all replicas were lost", func() {
 		get := request{vni: vniOrders, flow: 4002, code: codes.GET, id: 1, token: 1}
 		u := c.call(c.nodes[0], get)
 		for _, h := range c.nodesWithUpstream(get) {
@@ -183,10 +183,10 @@
 		Expect(c.call(c.other(), get)).To(Equal(u))
 	})
 
-	// A session moves to another upstream. Its upstream has not answered yet; the
-	// backup is displaced by a host that joins, and forgets the flow as no concern
-	// of its own, while the home, which has only proposed it, dies.
-	It("isn't forgotten by a displaced backup before its home is sure of it", func() {
+	// Guards against placing an existing flow again. Its upstream has not answered yet;
+	// a joining host displaces the backup, which removes a record that it no longer
+	// needs, while the owner, which has only proposed the upstream, is killed.
+	It("isn't removed by a displaced backup before its owner has confirmed it", func() {
 		displaced := 0
 		for flow := range uint16(40) {
 			c = newCluster(6)
@@ -212,9 +212,10 @@
 		Expect(displaced).To(BeNumerically(">", 3))
 	})
 
-	// Two packets of one new flow go to two upstreams. Two balancers each believe
-	// to be home, as their views differ; both must come to the same upstream.
-	It("has one upstream though two homes place it", func() {
+	// Guards against sending two packets of one new flow to two upstreams. Two
+	// balancers both take themselves for the owner because their views differ; they
+	// must agree on one upstream.
+	It("has one upstream even if two owners place it", func() {
 		for flow := range uint16(60) {
 			c = newCluster(9)
 			c.skewLoads()
@@ -236,9 +237,9 @@
 		}
 	})
 
-	// New feeds don't open for as long as a dead balancer isn't found. It was the
-	// one that chooses for the service; the caller's first repetition must do.
-	It("is placed by its home if the one that chooses is dead", func() {
+	// Guards against new flows waiting until a dead placer is detected. The caller's
+	// first repetition must be placed without the placer.
+	It("is placed by its owner if the placer is dead", func() {
 		for flow := range uint16(30) {
 			c = newCluster(9)
 			r := post
@@ -250,33 +251,33 @@
 			placer.up = false
 			first := c.callWithRetry(c.other(placer), r)
 			if slices.Contains(c.firstPacketPath(r), placer) {
-				continue // It is a holder too, and the packet is lost there.
+				continue // The packet passes through the placer too and is lost there.
 			}
 			Expect(first).To(HaveLen(1))
 		}
 	})
 
-	// A desk's session jumps to another upstream. A balancer is paused, taken for
-	// dead, and both its flow's other holders die and it is placed anew; then the
-	// balancer goes on and still believes its old record.
-	It("isn't sent by records from before a pause", func() {
+	// Guards against using a record from before a pause. A balancer is paused and taken
+	// for dead, another member with a replica is killed, and the flow may be placed
+	// again; then the balancer resumes with its old record.
+	It("isn't forwarded by records from before a pause", func() {
 		get := request{vni: vniOrders, flow: 4003, code: codes.GET, id: 1, token: 1}
 		c.call(c.nodes[0], get)
-		holders := c.nodesWithUpstream(get)
-		holders[0].paused = true
-		c.lost = append(c.lost, holders[0].member)
-		c.kill(holders[1])
+		replicas := c.nodesWithUpstream(get)
+		replicas[0].paused = true
+		c.lost = append(c.lost, replicas[0].member)
+		c.kill(replicas[1])
 		c.syncViews(true)
 		get.id, get.token = 2, 2
-		now := c.call(c.other(), get)
+		current := c.call(c.other(), get)
 		c.now = c.now.Add(4 * time.Second)
-		holders[0].paused = false
+		replicas[0].paused = false
 		get.id, get.token = 3, 3
-		Expect(c.call(holders[0], get)).To(Or(BeEmpty(), Equal(now)), "its view is as old as its records")
+		Expect(c.call(replicas[0], get)).To(Or(BeEmpty(), Equal(current)), "its view is as outdated as its records")
 		c.lost = nil
 		c.syncViews(true)
 		get.id, get.token = 4, 4
-		Expect(c.call(holders[0], get)).To(Equal(now))
-		Expect(holders[0].engine.Counters.Pauses.Load()).To(BeEquivalentTo(1))
+		Expect(c.call(replicas[0], get)).To(Equal(current))
+		Expect(replicas[0].engine.Counters.Pauses.Load()).To(BeEquivalentTo(1))
 	})
 })
--- a/internal/connection/caller/invalid_packet_test.go
+++ b/internal/connection/caller/invalid_packet_test.go
@@ -24,7 +24,7 @@
 }
 
 var badPackets = map[string]badPacket{
-	"from a stranger": {
+	"from an unknown sender": {
 		send: func(c *cluster) caller.Cause {
 			return c.inject(c.nodes[0], netip.MustParseAddr("192.0.2.66"), vniOrders, inner(ordersAt, get.payload()))
 		},
@@ -55,7 +55,7 @@
 		},
 		want: caller.CauseMalformedIP,
 	},
-	"no CoAP message": {
+	"invalid CoAP message": {
 		send: func(c *cluster) caller.Cause {
 			return c.inject(c.nodes[0], fabricAt.Addr(), vniOrders, inner(ordersAt, []byte{1, 2}))
 		},
@@ -73,7 +73,7 @@
 		},
 		want: caller.CauseBadTag,
 	},
-	"hop from a stranger": {
+	"hop from an unknown sender": {
 		send: func(c *cluster) caller.Cause {
 			return hopFrom(c, netip.MustParseAddr("192.0.2.66"), geneve.NewKey([]byte("guess")))
 		},
@@ -96,7 +96,7 @@
 	return c.receive(c.nodes[0], from, geneve.Append(nil, &h, k, inner(ordersAt, get.payload())))
 }
 
-var _ = DescribeTableSubtree("A packet that must not pass",
+var _ = DescribeTableSubtree("An invalid packet",
 	func(name string) {
 		It("is dropped and counted: "+name, func() {
 			c := newCluster(3)
--- a/internal/connection/caller/owner_test.go
+++ b/internal/connection/caller/owner_test.go
@@ -10,7 +10,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-var _ = Describe("A home", func() {
+var _ = Describe("An owner", func() {
 	var c *cluster
 	post := request{vni: vniOrders, flow: 4001, code: codes.POST, id: 1, token: 1}
 	next := func(i int) request {
@@ -20,22 +20,24 @@
 	}
 	BeforeEach(func() { c = newCluster(9) })
 
-	// A desk's session goes to two upstreams. Its home was paused, others took it
-	// for dead and may have placed the flow again; it goes on by its old record.
-	It("asks others for a record from before a pause", func() {
+	// Guards against sending a flow to two upstreams. Its owner was paused, others took
+	// it for dead and may have placed the flow again; then the owner uses its old
+	// record.
+	It("queries others about a record from before a pause", func() {
 		u := c.exchange(c.nodes[0], post)
 		owner := c.ownerOf(post)
 		c.now = c.now.Add(4 * time.Second)
-		asked := owner.engine.Counters.Queried.Load()
+		queried := owner.engine.Counters.Queried.Load()
 		Expect(c.exchange(owner, next(2))).To(Equal(u))
-		Expect(owner.engine.Counters.Queried.Load()).To(Equal(asked + 1))
+		Expect(owner.engine.Counters.Queried.Load()).To(Equal(queried + 1))
 		Expect(c.exchange(owner, next(3))).To(Equal(u))
-		Expect(owner.engine.Counters.Queried.Load()).To(Equal(asked+1), "once is enough")
+		Expect(owner.engine.Counters.Queried.Load()).To(Equal(queried+1), "one query is enough")
 	})
 
-	// A caller is told that its booking didn't run, and it ran. Its first copy went
-	// through another home; the new one has no slot left and refuses the second.
-	It("doesn't call a request not run while another home may have let it through", func() {
+	// Guards against refusing a request as not run although it ran. Its first copy
+	// passed through another owner; the new one has no free slot and refuses the second
+	// copy.
+	It("doesn't refuse a request as not run while another owner may have forwarded it", func() {
 		c.exchange(c.nodes[0], post)
 		c.syncViews(true)
 		for i := range 8 {
@@ -46,9 +48,10 @@
 		Expect(c.callerGot[len(c.callerGot)-1].Code).To(Equal(codes.ServiceUnavailable))
 	})
 
-	// A session breaks at the second of two deaths, minutes apart. The datagram
-	// that told the new backup was lost, and the home believed it told.
-	It("tells a new backup until it has confirmed, and then no more", func() {
+	// Guards against losing a flow at the second of two failures, minutes apart. The
+	// datagram with the record for the new backup was lost, and the owner took the
+	// record for delivered.
+	It("sends the record to a new backup until it has confirmed, and then no more", func() {
 		c.exchange(c.nodes[0], post)
 		owner := c.ownerOf(post)
 		for _, h := range c.replicas(post) {
@@ -64,14 +67,14 @@
 		c.sweep()
 		Expect(c.replicas(post)).NotTo(HaveLen(1))
 		c.sweep()
-		told := c.controlPackets
+		sent := c.controlPackets
 		c.sweep()
-		Expect(c.controlPackets).To(Equal(told))
+		Expect(c.controlPackets).To(Equal(sent))
 	})
 
-	// An upstream that leaves gets new flows for minutes, and its open ones are cut
-	// off. A bundle drains it while balancers place by what they knew before.
-	It("places no new flow at a draining upstream and leaves its open ones there", func() {
+	// Guards against placing new flows at a leaving upstream, which would be cut off. A
+	// bundle drains the upstream while balancers still place flows by earlier data.
+	It("places no new flow at a draining upstream and keeps its open flows there", func() {
 		u := c.exchange(c.nodes[0], post)
 		b := testBundle()
 		for i := range b.Services[0].Upstreams {
@@ -89,10 +92,10 @@
 		Expect(c.exchange(c.nodes[3], next(2))).To(Equal(u))
 	})
 
-	// A session moves to another upstream when a balancer dies. An earlier try had
-	// proposed another one, which held; the datagram that told the home was lost,
-	// and the home went on with its own proposal.
-	It("learns of an earlier proposal that overruled its own, though the first word of it is lost", func() {
+	// Guards against moving a flow to another upstream when a balancer is killed. An
+	// earlier attempt proposed another upstream, which was committed; the datagram that
+	// reports it to the owner was lost, and the owner continued with its own proposal.
+	It("receives an earlier proposal that overrode its own, even if the first datagram about it is lost", func() {
 		for flow := range uint16(30) {
 			c = newCluster(9)
 			c.skewLoads()
@@ -121,8 +124,8 @@
 		}
 	})
 
-	// Editing traffic is answered by the archive. All holders of a flow died, and
-	// an upstream of another service sends under this service's VNI.
+	// Guards against an answer from another service. All replicas of a flow's record
+	// were lost, and an upstream of another service sends with this service's VNI.
 	It("doesn't adopt a flow for an upstream of another service", func() {
 		c.call(c.nodes[0], post)
 		for _, n := range c.nodesWithUpstream(post) {
--- a/internal/connection/caller/partition_test.go
+++ b/internal/connection/caller/partition_test.go
@@ -13,17 +13,17 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// partition separates zone a from the others: what is sent between them is lost, and
-// each side takes the other for dead.
+// partition separates zone a from the others: packets between them are lost, and each
+// side takes the other for dead.
 func (c *cluster) partition() {
 	c.partitioned = func(a, b bundle.Zone) bool { return (a == "a") != (b == "a") }
 	for _, n := range c.nodes {
-		var members, away []peer.Member
+		var members, unreachable []peer.Member
 		for _, o := range c.nodes {
 			if (o.member.Zone == "a") == (n.member.Zone == "a") {
 				members = append(members, o.member)
 			} else {
-				away = append(away, o.member)
+				unreachable = append(unreachable, o.member)
 			}
 		}
 		cutZones := []bundle.Zone{"a"}
@@ -31,7 +31,7 @@
 			cutZones = []bundle.Zone{"b", "c"}
 		}
 		n.engine.SetView(peer.NewView(n.member.ID, members, peer.Changes{
-			RecentlyChanged: true, RepeatsPossible: true, Lost: away, UnreachableZones: cutZones, UnreachableMembers: away,
+			RecentlyChanged: true, RepeatsPossible: true, Lost: unreachable, UnreachableZones: cutZones, UnreachableMembers: unreachable,
 		}))
 	}
 }
@@ -41,7 +41,7 @@
 	c.syncViews(true)
 }
 
-// side returns the nodes that reach a zone while the network is cut.
+// side returns the nodes on the same side of the network partition as a zone.
 func (c *cluster) side(z bundle.Zone) []*node {
 	var out []*node
 	for _, n := range c.nodes {
@@ -71,16 +71,17 @@
 		c.skewLoads()
 	})
 
-	// Feeds break and bookings run twice while a zone is cut off. A side that gets
-	// a packet of a flow from before the cut takes it for new and places it again.
-	It("leaves flows from before the cut with their upstreams, on both sides and after it", func() {
+	// Guards against breaking flows and running requests twice during a network
+	// partition. A side that gets a packet of an earlier flow could take it for new and
+	// place it again.
+	It("keeps earlier flows at their upstreams, on both sides and after the partition", func() {
 		const flows = 60
-		held := make(map[uint16]string)
+		upstreams := make(map[uint16]string)
 		for flow := uint16(4000); flow < 4000+flows; flow++ {
-			held[flow] = c.exchange(c.nodes[int(flow)%9], request1(flow, codes.GET))[0]
+			upstreams[flow] = c.exchange(c.nodes[int(flow)%9], request1(flow, codes.GET))[0]
 		}
 		c.partition()
-		for flow, u := range held {
+		for flow, u := range upstreams {
 			r := request1(flow, codes.POST)
 			for i, n := range c.nodes {
 				r.id, r.token = uint16(10+i), byte(10+i)
@@ -93,14 +94,14 @@
 			}
 		}
 		c.heal()
-		for flow, u := range held {
+		for flow, u := range upstreams {
 			r := request1(flow, codes.POST)
 			r.id, r.token = 99, 99
 			Expect(c.exchange(c.nodes[int(flow)%9], r)).To(Equal([]string{u}))
 		}
 	})
 
-	It("places a new flow whose home it has at once, at an upstream it reaches", func() {
+	It("immediately places a new flow whose owner is in it, at an upstream that it reaches", func() {
 		placed := 0
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.POST)
@@ -117,9 +118,10 @@
 		Expect(placed).To(BeNumerically(">", 10))
 	})
 
-	// A booking runs on both sides of a cut. A caller that reaches both repeats
-	// it, and each side places the new flow for itself.
-	It("doesn't run a new flow's POST whose home is beyond the cut, however often it comes", func() {
+	// Guards against running a request on both sides of a network partition. A caller
+	// that reaches both sides repeats it, and each side would place the new flow for
+	// itself.
+	It("doesn't run a POST of a new flow whose owner is on the other side, however often it is repeated", func() {
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.POST)
 			if c.ownerOf(r).member.Zone == "a" {
@@ -129,16 +131,16 @@
 			for range 5 {
 				Expect(c.call(c.side("a")[1], r)).To(BeEmpty())
 			}
-			Expect(c.callerGot).NotTo(BeEmpty(), "the third copy is told that the outcome is unknown")
+			Expect(c.callerGot).NotTo(BeEmpty(), "the third copy is answered that the outcome is unknown")
 			Expect(c.callerGot[0].Code).To(Equal(codes.GatewayTimeout))
 			r.id, r.token = 2, 2
-			Expect(c.call(c.side("a")[1], r)).To(BeEmpty(), "nor another POST of the flow")
+			Expect(c.call(c.side("a")[1], r)).To(BeEmpty(), "another POST of the flow doesn't run either")
 			c.callerGot = nil
 			c.heal()
 		}
 	})
 
-	It("serves a new flow whose home is beyond the cut after two repetitions, if it is idempotent", func() {
+	It("serves an idempotent request of a new flow whose owner is on the other side after two repetitions", func() {
 		served := 0
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.GET)
@@ -155,15 +157,15 @@
 			served++
 			c.heal()
 			r.id, r.token = 2, 2
-			Expect(c.exchange(c.other(), r)).To(Equal(u), "it stays there after the cut")
+			Expect(c.exchange(c.other(), r)).To(Equal(u), "the flow stays there after the partition")
 		}
 		Expect(served).To(BeNumerically(">", 10))
 	})
 
-	// A booking runs on both sides of a cut. One side proposed an upstream for a
-	// new flow that may be the other side's, and a copy of that proposal, found
-	// later, was taken for a record without doubt.
-	It("doesn't forget the doubt of a proposal when only a copy of it is found", func() {
+	// Guards against running a request on both sides of a network partition. One side
+	// proposed an upstream for a new flow that may be the other side's, and a copy of
+	// that proposal, found later, was taken for a record without RecordUncertain.
+	It("keeps a proposal uncertain when only a copy of it is found", func() {
 		found := 0
 		for flow := uint16(5000); flow < 5060; flow++ {
 			r := request1(flow, codes.POST)
@@ -178,7 +180,7 @@
 				}
 			}
 			c.answer(owner, "orders-1", r)
-			Expect(c.replicas(r)).NotTo(BeEmpty(), "the answer brings the copy back")
+			Expect(c.replicas(r)).NotTo(BeEmpty(), "the answer makes the copy a committed record")
 			Expect(c.call(owner, r)).To(BeEmpty(), "flow %d", flow)
 			found++
 			c.heal()
@@ -187,13 +189,13 @@
 	})
 })
 
-// sideOwner returns the node that decides for a flow on the side without zone a.
+// sideOwner returns the owner of a flow on the side without zone a.
 func (c *cluster) sideOwner(r request) *node {
 	k := keyOf(r.flow)
 	return c.nodeAt(c.side("b")[0].engine.View().Owner(k.Hash()).Data.Addr())
 }
 
-// storeProposalCopy gives a node the copy of a proposal that was made in doubt.
+// storeProposalCopy stores a copy of a proposal with RecordUncertain at a node.
 func (c *cluster) storeProposalCopy(n *node, r request, upstream string) {
 	k := keyOf(r.flow)
 	n.engine.Flows.Update(&k, k.Hash(), func(rec *caller.Record, _ bool) bool {
--- a/internal/connection/caller/request_test.go
+++ b/internal/connection/caller/request_test.go
@@ -14,8 +14,8 @@
 
 	BeforeEach(func() { c = newCluster(9) })
 
-	// A desk gets another desk's bookings. A late answer of an upstream that held
-	// the five-tuple earlier arrives while another holds it now.
+	// Guards against sending a caller another caller's answer. An upstream that held
+	// the five-tuple earlier sends a late answer while another upstream holds it now.
 	It("reaches the caller only from the upstream that holds the flow", func() {
 		u := c.call(c.nodes[0], get)
 		for _, route := range c.routing.Upstreams() {
@@ -33,7 +33,7 @@
 		Expect(c.answer(c.nodes[1], u[0], wrong)).To(BeFalse())
 	})
 
-	It("passes again if it is repeated, and no other after it", func() {
+	It("is forwarded again if it is repeated, but no other answer after it", func() {
 		u := c.call(c.nodes[0], get)
 		Expect(c.answer(c.nodes[1], u[0], get)).To(BeTrue())
 		Expect(c.answer(c.nodes[2], u[0], get)).To(BeTrue())
@@ -42,7 +42,7 @@
 		Expect(c.answer(c.nodes[2], u[0], second)).To(BeFalse())
 	})
 
-	It("is dropped if nobody ever placed the flow", func() {
+	It("is dropped if the flow was never placed", func() {
 		Expect(c.answer(c.nodes[1], "orders-0", get)).To(BeFalse())
 	})
 
@@ -67,12 +67,13 @@
 		Expect(c.callerGot).To(HaveLen(2))
 		for _, m := range c.callerGot {
 			Expect(m.Code).To(Equal(codes.ServiceUnavailable))
-			Expect(m.Options.HasOption(14)).To(BeTrue(), "Max-Age says when to come back")
+			Expect(m.Options.HasOption(14)).To(BeTrue(), "Max-Age says when to try again")
 		}
 	})
 
-	// A caller waits for an answer that never comes. Its upstream went silent; at
-	// the deadline the daemon says that the outcome is unknown.
+	// Guards against a caller waiting for an answer that never arrives. Its upstream
+	// stopped answering; at the deadline the daemon answers that the outcome is
+	// unknown.
 	It("is answered at its deadline, once", func() {
 		r := request{vni: vniOrders, flow: 4001, code: codes.POST, id: 1, token: 1}
 		c.call(c.nodes[0], r)
@@ -82,9 +83,10 @@
 		Expect(c.callerGot[0].Code).To(Equal(codes.GatewayTimeout))
 	})
 
-	// Nearly all requests are refused after a balancer was paused. Requests that
-	// were open then were answered through others and keep their slots for good.
-	It("doesn't keep a slot over a pause", func() {
+	// Guards against refusing nearly all requests after a pause of a balancer. Requests
+	// that were open then were answered through others and would keep their slots
+	// permanently.
+	It("doesn't keep its slot over a pause", func() {
 		r := request{vni: vniOrders, flow: 4001, code: codes.GET, id: 1, token: 1}
 		u := c.call(c.nodes[0], r)
 		owner := c.ownerOf(r)
--- a/internal/connection/caller/table_test.go
+++ b/internal/connection/caller/table_test.go
@@ -18,36 +18,36 @@
 }
 
 var _ = Describe("Table", func() {
-	It("does what one map does", func() {
+	It("behaves like a map", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			table := caller.NewTable()
-			naive := make(map[caller.Key]bundle.UpstreamID)
+			reference := make(map[caller.Key]bundle.UpstreamID)
 			for range rapid.IntRange(1, 400).Draw(t, "steps") {
 				k := keyOf(rapid.Uint16Range(1, 120).Draw(t, "flow"))
 				id := bundle.UpstreamID(rapid.Uint64Range(1, 9).Draw(t, "upstream"))
 				keep := rapid.Bool().Draw(t, "keep")
 				table.Update(&k, k.Hash(), func(r *caller.Record, found bool) bool {
-					if _, want := naive[k]; want != found {
+					if _, want := reference[k]; want != found {
 						t.Fatalf("found is %v", found)
 					}
 					r.Upstream = id
 					return keep
 				})
-				delete(naive, k)
+				delete(reference, k)
 				if keep {
-					naive[k] = id
+					reference[k] = id
 				}
 			}
-			compare(t, table, naive)
+			compare(t, table, reference)
 		})
 	})
 })
 
-func compare(t *rapid.T, table *caller.Table, naive map[caller.Key]bundle.UpstreamID) {
-	if table.Len() != len(naive) {
-		t.Fatalf("has %d records, want %d", table.Len(), len(naive))
+func compare(t *rapid.T, table *caller.Table, reference map[caller.Key]bundle.UpstreamID) {
+	if table.Len() != len(reference) {
+		t.Fatalf("has %d records, want %d", table.Len(), len(reference))
 	}
-	for k, want := range naive {
+	for k, want := range reference {
 		if r, ok := table.Get(&k, k.Hash()); !ok || r.Upstream != want {
 			t.Fatalf("got %v %v, want %v", r.Upstream, ok, want)
 		}
@@ -56,10 +56,10 @@
 	for shard := range table.Shards() {
 		table.Visit(shard, func(k *caller.Key, _ *caller.Record) bool {
 			seen++
-			return *k == keyOf(1) // All others go.
+			return *k == keyOf(1) // All others are removed.
 		})
 	}
-	if seen != len(naive) || table.Len() > 1 {
+	if seen != len(reference) || table.Len() > 1 {
 		t.Fatalf("visited %d, kept %d", seen, table.Len())
 	}
 }
@@ -67,7 +67,7 @@
 var _ = Describe("Sweep", func() {
 	get := request{vni: vniOrders, flow: 4001, code: 1, id: 1, token: 1}
 
-	It("ends an idle flow on home and backup", func() {
+	It("removes an idle flow at owner and backup", func() {
 		c := newCluster(3)
 		c.exchange(c.nodes[0], get)
 		Expect(c.flowsAt("orders")).To(BeEquivalentTo(1))
@@ -76,9 +76,9 @@
 		Expect(c.flowsAt("orders")).To(BeZero())
 	})
 
-	// A feed that lasts for days breaks when its home dies. The backup heard of
-	// the flow once, at its start, and took it for idle long ago.
-	It("keeps the backup's record of a flow that goes on", func() {
+	// Guards against losing a flow that lasts for days when its owner is killed. The
+	// backup received the record once, at the start, and would remove it as idle.
+	It("keeps the backup's record of a flow that continues", func() {
 		c := newCluster(3)
 		u := c.exchange(c.nodes[0], get)
 		for i := range 30 {
@@ -95,7 +95,7 @@
 		Expect(c.exchange(c.other(), r)).To(Equal(u))
 	})
 
-	It("tells no more records than its budget", func() {
+	It("sends no more records than its budget", func() {
 		c := newCluster(3)
 		for flow := range uint16(50) {
 			r := get
@@ -105,22 +105,22 @@
 		n := c.nodes[1]
 		n.member.State = 1 // Leaving.
 		c.syncViews(true)
-		short := 0
+		incomplete := 0
 		for shard := range n.engine.Flows.Shards() {
 			out, result := n.engine.Sweep(c.now, shard, 0, nil)
 			Expect(out).To(BeEmpty())
 			if !result.Complete {
-				short++
+				incomplete++
 				out, result = n.engine.Sweep(c.now, shard, 1, nil)
 				Expect(out).To(HaveLen(1))
 				Expect(result.Sent).To(Equal(1))
 			}
 		}
-		Expect(short).To(BeNumerically(">", 5))
+		Expect(incomplete).To(BeNumerically(">", 5))
 	})
 })
 
-// idle lets time pass in steps that no daemon takes for a pause.
+// idle advances the time in steps that no daemon takes for a pause.
 func (c *cluster) idle(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(time.Second)
--- a/internal/connection/caller/tcp_test.go
+++ b/internal/connection/caller/tcp_test.go
@@ -13,7 +13,7 @@
 
 	BeforeEach(func() { c = newCluster(3) })
 
-	It("is placed by its SYN and ends by two FINs", func() {
+	It("is placed by its SYN and ended by two FINs", func() {
 		first := c.segment(c.nodes[0], syn, "")
 		Expect(first).To(HaveLen(1))
 		data := syn
@@ -28,14 +28,14 @@
 		Expect(c.segment(c.nodes[1], data, "")).To(Equal(first), "the last ACK")
 	})
 
-	It("is reset in mid-life if nobody knows it", func() {
+	It("is reset in mid-stream if no member has its record", func() {
 		data := syn
 		data.TCPFlags = ip.TCPAck
 		Expect(c.segment(c.nodes[0], data, "payload")).To(BeEmpty())
 		Expect(c.resets).To(Equal(1))
 	})
 
-	It("is placed once more if its upstream refuses the SYN", func() {
+	It("is placed a second time if its upstream refuses the SYN", func() {
 		first := c.segment(c.nodes[0], syn, "")
 		rst := syn
 		rst.TCPFlags = ip.TCPRst | ip.TCPAck
@@ -44,11 +44,12 @@
 		second := c.segment(c.nodes[2], syn, "")
 		Expect(second).NotTo(Equal(first))
 		c.segmentFromUpstream(c.nodes[1], second[0], rst)
-		Expect(c.resets).To(Equal(1), "the second is final")
+		Expect(c.resets).To(Equal(1), "the second refusal is final")
 	})
 
-	// A byte stream is cut in two. The upstream resets after it was sent payload;
-	// placing the flow again would send the rest elsewhere.
+	// Guards against splitting a byte stream. The upstream resets after it was sent
+	// payload; if the flow were placed again, the rest would be sent to another
+	// upstream.
 	It("isn't placed again once a payload byte was forwarded", func() {
 		first := c.segment(c.nodes[0], syn, "")
 		data := syn
