--- a/internal/connection/caller/query.go
+++ b/internal/connection/caller/query.go
@@ -35,9 +35,10 @@
 }
 
 // preferEarlierProposal replaces the proposal in the packet by an earlier one that is
-// stored here. Two owners under two views may propose upstreams at the same time, and
-// the packets of an earlier attempt may have reached an upstream: all packets must
-// reach the same one.
+// stored here. Of two proposals of the same second, it keeps the one with the lower
+// upstream identifier. Two owners under two views may propose upstreams at the same
+// time, and the packets of an earlier attempt may have reached an upstream: all packets
+// must reach the same one.
 func preferEarlierProposal(hop *geneve.Hop, r *Record) {
 	if r.Upstream == 0 || r.Upstream == hop.Upstream || r.PlacedAt > hop.PlacedAt {
 		return
