--- a/internal/connection/caller/placer.go
+++ b/internal/connection/caller/placer.go
@@ -9,26 +9,27 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// askPlacer sends a call of a new flow to the member that chooses for its
-// service. One place that knows of all new flows spreads them best.
-func (e *Engine) askPlacer(w *packetWork, r *Record) Cause {
+// requestPlacement sends a call of a new flow to the placer of its service, which
+// chooses the upstream. A single member that sees all new flows distributes them best.
+func (e *Engine) requestPlacement(w *packetWork, r *Record) Cause {
 	hop := &w.p.Header.Hop
-	*hop = geneve.Hop{Kind: geneve.KindChoose, Placed: r.Placed, Home: uint64(e.self), Count: hop.Count + 1}
+	*hop = geneve.Hop{Kind: geneve.KindPlacementRequest, PlacedAt: r.PlacedAt, Owner: uint64(e.self), Count: hop.Count + 1}
 	p := w.view.Placer(w.service.VNI)
 	if p == nil || p.ID == e.self {
-		return e.placer(w)
+		return e.handlePlacementRequest(w)
 	}
 	w.send(p.Data, w.p.Header, w.p.Inner)
 	return CauseNone
 }
 
-// placer chooses the upstream of a new flow and sends the packet back to its
-// home. It remembers the choice for some time: a caller's repetition must not be
-// placed elsewhere while the first copy is under way.
-func (e *Engine) placer(w *packetWork) Cause {
+// handlePlacementRequest chooses the upstream of a new flow at the placer and sends the
+// packet back to the flow's owner. It stores the choice for some time, so that a copy
+// of the packet that the caller repeats isn't placed elsewhere while the first copy is
+// under way.
+func (e *Engine) handlePlacementRequest(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
-	home := w.view.Member(peer.ID(hop.Home))
-	if home == nil {
+	owner := w.view.Member(peer.ID(hop.Owner))
+	if owner == nil {
 		return CauseNoFlow
 	}
 	var rec Record
@@ -37,55 +38,56 @@
 			rec = *r
 			return true
 		}
-		u := e.choose(w, 0)
+		u := e.chooseUpstream(w, 0)
 		if u == nil {
 			return found
 		}
-		*r = Record{Upstream: u.ID, State: StateTentative, Placed: hop.Placed, Seen: w.seconds}
-		if home.ID != e.self {
+		*r = Record{Upstream: u.ID, State: StateTentative, PlacedAt: hop.PlacedAt, LastSeen: w.seconds}
+		if owner.ID != e.self {
 			r.Flags = RecordBackup
 		}
-		e.holds(r)
+		e.markValid(r)
 		rec = *r
-		e.Board.Placed(u.ID, w.now.Add(recentFlows))
+		e.Loads.Placed(u.ID, w.now.Add(recentPlacementPeriod))
 		return true
 	})
 	if rec.Upstream == 0 {
 		return e.refuse(w, refusalNoUpstream)
 	}
-	hop.Kind = geneve.KindChosen
-	hop.Upstream, hop.Placed = rec.Upstream, rec.Placed
-	if home.ID == e.self {
-		return e.chosen(w)
+	hop.Kind = geneve.KindPlacementReply
+	hop.Upstream, hop.PlacedAt = rec.Upstream, rec.PlacedAt
+	if owner.ID == e.self {
+		return e.handlePlacementReply(w)
 	}
-	w.send(home.Data, w.p.Header, w.p.Inner)
+	w.send(owner.Data, w.p.Header, w.p.Inner)
 	return CauseNone
 }
 
-// chosen goes on with a call at its home once the placer has chosen.
-func (e *Engine) chosen(w *packetWork) Cause {
+// handlePlacementReply continues with a call at its owner after the placer has chosen
+// the upstream.
+func (e *Engine) handlePlacementReply(w *packetWork) Cause {
 	hop := &w.p.Header.Hop
 	var rec Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
 		switch {
 		case !found || r.State == StateEnded:
-			*r = Record{Upstream: hop.Upstream, State: StateTentative, Placed: hop.Placed, Flags: RecordLocal}
-			e.holds(r)
+			*r = Record{Upstream: hop.Upstream, State: StateTentative, PlacedAt: hop.PlacedAt, Flags: RecordLocal}
+			e.markValid(r)
 		case r.State == StateTentative && r.Upstream == 0:
-			r.Upstream, r.Placed = hop.Upstream, hop.Placed
+			r.Upstream, r.PlacedAt = hop.Upstream, hop.PlacedAt
 		}
 		e.touch(w, r)
 		rec = *r
 		return true
 	})
-	if rec.State == StateHeld {
+	if rec.State == StateDeferred {
 		return CauseNoFlow
 	}
-	return e.decided(w, &rec)
+	return e.forwardCall(w, &rec)
 }
 
-// FlowCounts returns how many flows this daemon is home of at each upstream of
-// the bundle, in the order that all daemons share, and the bundle's version.
+// FlowCounts returns how many flows this daemon owns at each upstream of the bundle, in
+// the order that all daemons share, and the bundle's version.
 func (e *Engine) FlowCounts() (bundle.Version, []uint32) {
 	t := e.routing.Load()
 	if t == nil {
@@ -94,19 +96,21 @@
 	ids := t.UpstreamIDs()
 	counts := make([]uint32, len(ids))
 	for i, id := range ids {
-		counts[i] = uint32(max(0, e.Board.Load(id).Flows.Load()))
+		counts[i] = uint32(max(0, e.Loads.Load(id).Flows.Load()))
 	}
 	return t.Version, counts
 }
 
-// Heard takes in what another member told of its flows under a version.
-func (e *Engine) Heard(from upstream.MemberID, v bundle.Version, counts []uint32) {
+// ReceiveFlowCounts stores the flow counts that another member sent. It ignores counts
+// under a version of the bundle other than the current one.
+func (e *Engine) ReceiveFlowCounts(from upstream.MemberID, v bundle.Version, counts []uint32) {
 	if t := e.routing.Load(); t != nil && t.Version == v {
-		e.Board.Heard(from, t.UpstreamIDs(), counts)
+		e.Loads.UpdateReported(from, t.UpstreamIDs(), counts)
 	}
 }
 
-// ExpireRecent forgets flows that count by themselves no longer.
-func (e *Engine) ExpireRecent(now time.Time) {
-	e.Board.Expire(now)
+// ExpireRecentPlacements removes the placements that no longer have to be counted
+// separately, because the flow's owner has reported the flow by now.
+func (e *Engine) ExpireRecentPlacements(now time.Time) {
+	e.Loads.Expire(now)
 }
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -10,53 +10,55 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// endedFor keeps a closed TCP flow for its last segments: twice the maximum
-// segment lifetime (RFC 9293, section 3.4.1) shortened as common systems do.
-const endedFor = 60
+// endedRetentionSeconds is how long the record of a closed TCP flow is kept for its
+// last segments: twice the maximum segment lifetime (RFC 9293, section 3.4.1),
+// shortened as common systems do.
+const endedRetentionSeconds = 60
 
-// proposedFor keeps a proposal for as long as a caller repeats its first message
-// (RFC 7252, MAX_TRANSMIT_SPAN).
-const proposedFor = 60
+// proposalRetentionSeconds is how long a proposal is kept: as long as a caller
+// retransmits its first message (RFC 7252, MAX_TRANSMIT_SPAN).
+const proposalRetentionSeconds = 60
 
-// SweepResult says how far a sweep of a shard got.
+// SweepResult says how much of a shard a sweep completed.
 type SweepResult struct {
-	// Told counts the records that others were told and must confirm.
-	Told int
-	// Sent counts all that was told.
+	// AwaitingConfirmation is the number of records that were sent to members that must
+	// confirm them.
+	AwaitingConfirmation int
+	// Sent is the number of all records that were sent.
 	Sent int
-	// Whole is set if the budget sufficed for all of them.
-	Whole bool
+	// Complete is set if the budget was sufficient for all records.
+	Complete bool
 }
 
-// Sweep works through one shard: it ends idle flows and expired requests, and
-// tells records to the members that should have them now, at most budget of
-// them. It goes on telling a record in each sweep until the receiver confirms.
+// Sweep processes one shard: it removes idle flows, answers expired requests, and sends
+// records to the members that should hold them now, at most budget of them. It sends a
+// record again in each sweep until the receiver confirms it.
 func (e *Engine) Sweep(now time.Time, shard, budget int, out []Output) ([]Output, SweepResult) {
 	t := e.routing.Load()
 	if t == nil {
-		return out, SweepResult{Whole: true}
+		return out, SweepResult{Complete: true}
 	}
 	s := sweep{e: e, view: e.view.Load(), routing: t, now: e.seconds(now), budget: budget, out: out}
 	e.Flows.Visit(shard, s.visit)
-	result := SweepResult{Told: s.told, Sent: budget - s.budget, Whole: !s.short}
+	result := SweepResult{AwaitingConfirmation: s.awaiting, Sent: budget - s.budget, Complete: !s.exhausted}
 	return e.expire(now, shard, s.out), result
 }
 
 // sweep is the state of one pass through a shard.
 type sweep struct {
-	e       *Engine
-	view    *numberedView
-	routing *bundle.Routing
-	now     Seconds
-	budget  int
-	told    int
-	short   bool
-	out     []Output
+	e         *Engine
+	view      *numberedView
+	routing   *bundle.Routing
+	now       Seconds
+	budget    int
+	awaiting  int
+	exhausted bool
+	out       []Output
 }
 
 func (s *sweep) visit(k *Key, r *Record) bool {
 	svc := s.routing.Service(k.VNI())
-	if svc == nil || s.idle(svc, r) {
+	if svc == nil || s.isIdle(svc, r) {
 		if r.Flags&RecordCounted != 0 {
 			s.e.uncount(r)
 			s.e.Counters.Ended.Add(1)
@@ -64,108 +66,109 @@
 		return false
 	}
 	switch {
-	case r.State == StateFirm:
-		return s.place(k, r)
-	case r.State == StateTentative && r.Upstream != 0 && r.Other != 0 && s.leaving():
-		s.propose(k, r)
+	case r.State == StateCommitted:
+		return s.replicate(k, r)
+	case r.State == StateTentative && r.Upstream != 0 && r.ReplicaTag != 0 && s.leaving():
+		s.sendProposal(k, r)
 	}
 	return true
 }
 
-// idle reports whether a record can go. A copy sees few of the flow's packets, so
-// it is kept until its home has stopped renewing it.
-func (s *sweep) idle(svc *bundle.ServiceRoute, r *Record) bool {
+// isIdle reports whether a record can be removed. A replica sees few of the flow's
+// packets, so it is kept until its owner has stopped renewing it.
+func (s *sweep) isIdle(svc *bundle.ServiceRoute, r *Record) bool {
 	limit := Seconds(svc.IdleTimeout / time.Second)
 	if r.State == StateEnded {
-		limit = endedFor
+		limit = endedRetentionSeconds
 	}
 	if r.Flags&RecordBackup != 0 {
 		limit *= backupIdleFactor
 	}
-	if r.State == StateHeld || r.State == StateTentative && r.Other == 0 {
-		limit = proposedFor
+	if r.State == StateDeferred || r.State == StateTentative && r.ReplicaTag == 0 {
+		limit = proposalRetentionSeconds
 	}
-	return s.now > r.Seen+limit
+	return s.now > r.LastSeen+limit
 }
 
-// place sees to it that home and backup both have the record. It returns false
-// for a record that has become no concern of this daemon.
-func (s *sweep) place(k *Key, r *Record) bool {
+// replicate makes sure that both owner and backup have the record. It returns false if
+// this daemon no longer needs the record.
+func (s *sweep) replicate(k *Key, r *Record) bool {
 	u := s.routing.Upstream(r.Upstream)
 	h := k.Hash()
-	home := s.view.Home(h)
-	if u == nil || home == nil {
+	owner := s.view.Owner(h)
+	if u == nil || owner == nil {
 		return true
 	}
-	if home.ID == s.view.Self {
-		s.atHome(k, r, u, h)
+	if owner.ID == s.view.Self {
+		s.replicateAsOwner(k, r, u, h)
 		return true
 	}
-	keeps := s.view.Keeps(h, home.ID)
-	unconfirmed := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !keeps)
-	if home.Tag() != r.Other || unconfirmed {
-		s.tell(k, r, home.Data, geneve.FlagConfirm)
+	isReplica := s.view.IsReplica(h, owner.ID)
+	mustConfirm := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !isReplica)
+	if owner.Tag() != r.ReplicaTag || mustConfirm {
+		s.sendRecord(k, r, owner.Data, geneve.FlagConfirm)
 		return true
 	}
-	// A former holder's record isn't renewed. Kept, it could one day speak for a
-	// flow that was placed again meanwhile.
-	return s.view.Recent || keeps
+	// The record of a former replica isn't renewed. If it were kept, it could later be
+	// used for a flow that was placed again in the meantime.
+	return s.view.RecentlyChanged || isReplica
 }
 
-// atHome tells the backup and the other zones what they lack since members
-// changed.
-func (s *sweep) atHome(k *Key, r *Record, u *bundle.UpstreamRoute, h peer.FlowHash) {
-	if backup := s.view.Backup(h, u.Zone, s.view.Self); backup != nil && backup.Tag() != r.Other {
-		s.tell(k, r, backup.Data, geneve.FlagBackup|geneve.FlagConfirm)
+// replicateAsOwner sends the record to the backup and to the replicas in the other
+// zones that lack it since members changed.
+func (s *sweep) replicateAsOwner(k *Key, r *Record, u *bundle.UpstreamRoute, h peer.FlowHash) {
+	if backup := s.view.Backup(h, u.Zone, s.view.Self); backup != nil && backup.Tag() != r.ReplicaTag {
+		s.sendRecord(k, r, backup.Data, geneve.FlagBackup|geneve.FlagConfirm)
 	}
-	if r.Replicated == s.view.number {
+	if r.ReplicatedView == s.view.number {
 		return
 	}
-	next := s.view.previous != nil && r.Replicated == max(1, s.view.number-1)
+	previousView := s.view.previous != nil && r.ReplicatedView == max(1, s.view.number-1)
 	for _, z := range s.view.Zones() {
 		m := s.view.Replica(h, z, s.view.Self)
-		if m == nil || z == u.Zone || next && s.hadReplica(h, z, m) {
+		if m == nil || z == u.Zone || previousView && s.hadReplica(h, z, m) {
 			continue
 		}
-		s.tell(k, r, m.Data, geneve.FlagBackup)
+		s.sendRecord(k, r, m.Data, geneve.FlagBackup)
 	}
-	if !s.short {
-		r.Replicated = s.view.number
+	if !s.exhausted {
+		r.ReplicatedView = s.view.number
 	}
 }
 
-// leaving reports whether this daemon hands its records over. The home of a
-// record that is unconfirmed may have another proposal, or none that holds.
+// leaving reports whether this daemon is leaving and hands its records over. Then it
+// also sends unconfirmed records: the owner of such a record may have another proposal,
+// or none that is valid.
 func (s *sweep) leaving() bool {
 	m := s.view.Member(s.view.Self)
 	return m != nil && m.State == peer.StateLeaving
 }
 
-// propose passes a proposal on that only this daemon may still know: a firm
-// record of the flow can have died with its backup.
-func (s *sweep) propose(k *Key, r *Record) {
+// sendProposal sends a proposal that perhaps only this daemon still has: a committed
+// record of the flow may have been lost with its backup.
+func (s *sweep) sendProposal(k *Key, r *Record) {
 	h := k.Hash()
 	self := s.view.Member(s.view.Self)
-	home := s.view.Home(h)
-	for _, m := range []*peer.Member{home, s.view.Replica(h, self.Zone, home.ID)} {
+	owner := s.view.Owner(h)
+	for _, m := range []*peer.Member{owner, s.view.Replica(h, self.Zone, owner.ID)} {
 		if m == nil || m.ID == s.view.Self || s.budget <= 0 {
 			continue
 		}
-		s.tell(k, r, m.Data, 0)
+		s.sendRecord(k, r, m.Data, 0)
 		s.out[len(s.out)-1].Header.Hop.Kind = geneve.KindPropose
 	}
 }
 
-// hadReplica reports whether m kept the zone's copy under the view before, so
-// that one change of a member doesn't have all flows told again.
+// hadReplica reports whether m kept the zone's replica under the previous view too, so
+// that one change of a member doesn't cause the records of all flows to be sent again.
 func (s *sweep) hadReplica(h peer.FlowHash, z bundle.Zone, m *peer.Member) bool {
 	old := s.view.previous.Replica(h, z, s.view.Self)
 	return old != nil && old.Tag() == m.Tag()
 }
 
-func (s *sweep) tell(k *Key, r *Record, to netip.AddrPort, flags geneve.Flags) {
+func (s *sweep) sendRecord(k *Key, r *Record, to netip.AddrPort, flags geneve.Flags) {
 	if s.budget <= 0 {
-		s.short = true
+		s.exhausted = true
 		return
 	}
 	inner, err := ip.BuildHeaders(k.CallerAddr(), k.ServiceAddr(), k.Protocol())
@@ -174,7 +177,7 @@
 	}
 	s.budget--
 	if flags&geneve.FlagConfirm != 0 {
-		s.told++
+		s.awaiting++
 	}
 	s.out = append(s.out, Output{
 		To: to,
@@ -182,7 +185,7 @@
 			VNI:       k.VNI(),
 			EtherType: etherTypeOf(k.CallerAddr().Addr()),
 			Control:   true,
-			Hop:       learnHop(s.view.Self, r, flags),
+			Hop:       replicateHop(s.view.Self, r, flags),
 		},
 		Inner: inner,
 	})
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -63,7 +63,7 @@
 	c.mu.Lock()
 	params := peer.CatalogParams{AsOf: c.known.catalog.AsOf, Digest: c.known.catalog.Digest(), Whole: c.known.lacksWholeList}
 	if !c.known.lacksWholeBundle {
-		params.Version = c.known.history.Now().Version
+		params.Version = c.known.history.Current().Version
 	}
 	c.mu.Unlock()
 	params.Joining = sent.Sub(c.started) < JoinedAfter
@@ -79,7 +79,7 @@
 	}
 	now := time.Now()
 	m.do(func(g *peer.Membership) []peer.Envelope {
-		g.Learn(now, got.Members)
+		g.Merge(now, got.Members)
 		return nil
 	})
 	if len(got.Update) > 0 {
@@ -104,7 +104,7 @@
 	began := time.Now()
 	sealed, t, err := peer.CallRPC[[]byte](
 		m.ctx, from, peer.RPC{Method: peer.MethodCatalog, Params: params},
-		transfer.Limits{Begin: timeout, Stall: min(timeout, transfer.DefaultStall)}, &m.pulls,
+		transfer.Limits{FirstByteTimeout: timeout, StallTimeout: min(timeout, transfer.DefaultStallTimeout)}, &m.pulls,
 	)
 	if err != nil && t.Bytes() > 0 {
 		m.logBrokenOff(from, t.Bytes(), time.Since(began), err)
@@ -133,24 +133,24 @@
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.engine.LearnGone(got.Gone, now)
+	c.engine.LearnDeregisteredDead(got.Deregistered, now)
 	if got.AsOf.Epoch() < c.known.epoch {
 		return nil // It is of a store that is no longer.
 	}
 	c.seeEpoch(got.AsOf, "Peer", now)
-	if got.Known {
+	if got.Complete {
 		c.takeEvacuations(got.Evacuated, bundleSource{source: "Peer", age: now.Sub(as)}, now)
 		c.confirmEvacuations(as)
 	}
-	if got.Known && got.Version <= version {
+	if got.Complete && got.Version <= version {
 		c.confirmBundleAt(as, got.BundleAsOf)
 	}
-	if got.AsOf < c.known.catalog.AsOf || !got.Listed && !got.Changed {
+	if got.AsOf < c.known.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
 		return c.takeHeldBack(&got.Held, now)
 	}
-	c.known.catalog.DoubtFor(got.Doubt, now)
+	c.known.catalog.SuspectRemovalsFor(got.SuspicionPeriod, now)
 	changed := c.changeList(func() bool {
-		if got.Listed {
+		if got.HasRegistrations {
 			return c.known.catalog.Replace(got.Registrations, got.AsOf, now)
 		}
 		return c.known.catalog.Apply(got.Changes, got.AsOf, now)
@@ -162,25 +162,25 @@
 	resets = append(resets, c.takeHeldBack(&got.Held, now)...)
 	// Changes may not have led to the sender's list: entries of the same revision that
 	// only one of the two has. Then the whole list is asked for next.
-	c.known.lacksWholeList = got.Changed && got.Digest != c.known.catalog.Digest()
+	c.known.lacksWholeList = got.HasChanges && got.Digest != c.known.catalog.Digest()
 	if c.known.lacksWholeList {
 		return resets
 	}
 	c.confirmList(as)
-	if got.Known && got.Version <= version {
-		c.reading.Heard(as, false)
+	if got.Complete && got.Version <= version {
+		c.reading.Received(as, false)
 	}
 	return resets
 }
 
 // takeHeldBack takes over what another daemon goes by in place of what the store says. It returns resets for flows that
 // ended by it. c.mu is held.
-func (c *Carrier) takeHeldBack(h *peer.HeldBack, now time.Time) []cookie.Reset {
+func (c *Carrier) takeHeldBack(h *peer.HeldContent, now time.Time) []cookie.Reset {
 	before := c.known.evacuated.Zones()
-	if c.known.evacuated.HoldBack(h.Zones, h.ZonesFor, now) {
+	if c.known.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
 		c.putEvacuations(before, bundleSource{source: "Peer"}, now)
 	}
-	if c.known.catalog.HoldBack(h.Upstreams, h.UpstreamsFor, now) {
+	if c.known.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
 		return c.follow(now)
 	}
 	return nil
@@ -224,9 +224,9 @@
 	defer m.mu.Unlock()
 	switch {
 	case params.Zone != "":
-		return append(m.group.Introductions(params.Zone, 0), m.group.Self())
+		return append(m.group.BootstrapMembers(params.Zone, 0), m.group.Self())
 	case m.group.Digest() != params.MembersDigest:
-		return m.group.Known()
+		return m.group.Members()
 	}
 	return nil
 }
@@ -239,38 +239,38 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := &peer.Catalog{
-		Version: c.known.history.Now().Version, BundleAsOf: c.known.bundleAsOf, Evacuated: c.known.evacuated.Stored,
+		Version: c.known.history.Current().Version, BundleAsOf: c.known.bundleAsOf, Evacuated: c.known.evacuated.Stored,
 	}
 	var update *bundle.Update
 	if out.Version > params.Version {
 		update = c.known.history.Since(params.Version)
 	}
 	if params.Joining {
-		out.Gone = c.engine.Gone()
+		out.Deregistered = c.engine.DeregisteredDead()
 	}
 	out.AsOf, out.Digest = c.known.catalog.AsOf, c.known.catalog.Digest()
-	out.Doubt = c.known.catalog.Doubt(now)
+	out.SuspicionPeriod = c.known.catalog.RemovalSuspicion(now)
 	known := c.known.confirmedAll()
 	if known.IsZero() {
 		return out, update
 	}
-	out.Known, out.Age = true, now.Sub(known)
+	out.Complete, out.Age = true, now.Sub(known)
 	if params.Joining {
-		out.Held.Upstreams, out.Held.UpstreamsFor = c.known.catalog.HeldBack(now)
-		out.Held.Zones, out.Held.ZonesFor = c.known.evacuated.HeldBack(now)
-		out.Changes = c.known.catalog.Remembered()
-		out.Changed = len(out.Changes) > 0
+		out.Held.Upstreams, out.Held.UpstreamsFor = c.known.catalog.HeldEntries(now)
+		out.Held.Zones, out.Held.ZonesFor = c.known.evacuated.HeldZones(now)
+		out.Changes = c.known.catalog.LastKnown()
+		out.HasChanges = len(out.Changes) > 0
 	}
 	if params.AsOf == out.AsOf && params.Digest == c.known.catalog.Digest() || params.AsOf > out.AsOf {
 		return out, update
 	}
-	out.Changed = false
+	out.HasChanges = false
 	if !params.Whole {
 		changes, ok := c.known.catalog.Since(params.AsOf)
-		out.Changes, out.Changed = append(out.Changes, changes...), ok
+		out.Changes, out.HasChanges = append(out.Changes, changes...), ok
 	}
-	if !out.Changed {
-		out.Listed = true
+	if !out.HasChanges {
+		out.HasRegistrations = true
 		out.Registrations = c.known.catalog.List()
 	}
 	return out, update
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/carrier/contacts.go
@@ -32,7 +32,7 @@
 // seeds are out of date: seeds name three hosts of the time when the settings were made.
 type contacts struct {
 	c    *Carrier
-	cell objects.Cell[peer.Contacts]
+	cell objects.SingleObject[peer.Contacts]
 	// known is what was read or written last, at a time, in an epoch of the store.
 	known objects.Object[peer.Contacts]
 	at    time.Time
@@ -55,7 +55,7 @@
 
 func (k *contacts) run(ctx context.Context) {
 	pause := lonelyAfter
-	if k.c.start.First {
+	if k.c.start.FirstStart {
 		pause = lonelyAtFirst
 	}
 	for {
@@ -129,7 +129,7 @@
 		k.ping()
 	}
 	v := k.c.members.view.Load()
-	if !v.Outdated(&k.known.Value) {
+	if !v.ContactsOutdated(&k.known.Value) {
 		return
 	}
 	next := v.Contacts(&k.known.Value)
