--- a/internal/version/registry/catalog.go
+++ b/internal/version/registry/catalog.go
@@ -9,93 +9,97 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// Catalog holds all registrations known, as of one position of the store. It has no clock and
-// isn't safe for concurrent use.
+// Catalog holds all registrations that this daemon has received, as of one position of the store. It
+// has no clock of its own: callers pass the time. It isn't safe for concurrent use.
 type Catalog struct {
-	// AsOf is the position up to which every change is known.
+	// AsOf is the position up to which the catalog contains every change.
 	AsOf    objects.Position
 	entries map[bundle.UpstreamID]Registration
-	// digest is the sum over entries, see Digest, ready how many don't drain.
+	// digest is the sum of the digests of all entries, see Digest. ready is the number of entries
+	// that are usable and don't drain.
 	digest uint64
 	ready  int
-	// vanished are upstreams that the store no longer has but that are still used,
-	// with the time until which they are.
-	vanished map[bundle.UpstreamID]kept
-	// log holds the latest changes, for members that are a little behind.
-	log []logged
-	// forgotten is the position up to which the log no longer has all changes.
-	forgotten objects.Position
-	// changed are the upstreams that came, changed or went since TakeChanges.
+	// retained holds entries that the store has removed but that stay in use for a while, each with
+	// the time until which it does.
+	retained map[bundle.UpstreamID]retainedEntry
+	// log holds the latest changes, for members that lack only a few.
+	log []logEntry
+	// logStart is the position after which the log is complete; changes up to it may be missing.
+	logStart objects.Position
+	// changed holds the upstreams that were added, changed or removed since the last TakeChanges.
 	changed map[bundle.UpstreamID]struct{}
-	// older holds what the store, which was restored from a snapshot, says of upstreams of which something later is
-	// known. That stays in force until restoredUntil, or until the store says something else.
-	older         map[bundle.UpstreamID]Registration
-	restoredUntil time.Time
-	// restoring is set while the list of a restored store is taken in: what it lacks has not gone.
+	// overridden holds entries of a store that was restored from a snapshot and that are older than
+	// what was already known of their upstream. The newer registration stays in use, in entries, until
+	// heldUntil or until the store reports another change of the upstream.
+	overridden map[bundle.UpstreamID]Registration
+	heldUntil  time.Time
+	// restoring is set while the list of a restored store is applied: entries that the list lacks
+	// are retained, since their upstreams may still run.
 	restoring bool
-	// doubtUntil is the time up to which a vanished entry may be a lapse of the
-	// store and not of the upstream.
-	doubtUntil time.Time
+	// suspectUntil is the time up to which the removal of an entry may be a failure of the store
+	// rather than the end of the upstream.
+	suspectUntil time.Time
 }
 
-type kept struct {
+type retainedEntry struct {
 	Registration
 	until time.Time
 }
 
-type logged struct {
+type logEntry struct {
 	at     time.Time
 	asOf   objects.Position
 	change Change
 }
 
 const (
-	// lapseGrace is how long after the store's return a vanished entry is kept. The
-	// users' letter gives about two seconds for entries to come back; the rest is
-	// the time of one watch.
-	lapseGrace = 2500 * time.Millisecond
-	// massShare is the share of the ready entries that vanish at once from which on
-	// the list is doubted. Losses within the users' tolerance, one zone of three,
-	// stay below it.
-	massShare = 0.5
-	// massLeast is the number of vanished entries below which none is doubted.
-	massLeast = 3
-	// maxLog bounds the log; a member that is further behind is sent everything. It
+	// removalGrace is how long after the store's recovery a removed entry stays in use. Upstreams
+	// need up to about two seconds to register again; the rest is the time of one watch.
+	removalGrace = 2500 * time.Millisecond
+	// massRemovalShare is the share of the ready entries from which on a simultaneous removal is
+	// suspect. The loss of one zone of three, which is a tolerated failure, stays below it.
+	massRemovalShare = 0.5
+	// massRemovalMin is the number of simultaneously removed entries below which none is suspect.
+	massRemovalMin = 3
+	// maxLogEntries bounds the log; a member that is further behind is sent the whole list. The log
 	// holds some seconds of a rolling replacement of thousands of upstreams.
-	maxLog = 2048
+	maxLogEntries = 2048
 )
 
 // NewCatalog returns a catalog without entries.
 func NewCatalog() *Catalog {
 	return &Catalog{
-		entries:  make(map[bundle.UpstreamID]Registration),
-		vanished: make(map[bundle.UpstreamID]kept),
-		changed:  make(map[bundle.UpstreamID]struct{}),
-		older:    make(map[bundle.UpstreamID]Registration),
+		entries:    make(map[bundle.UpstreamID]Registration),
+		retained:   make(map[bundle.UpstreamID]retainedEntry),
+		changed:    make(map[bundle.UpstreamID]struct{}),
+		overridden: make(map[bundle.UpstreamID]Registration),
 	}
 }
 
-// StoreRecovered tells that the store answers again after calls that failed.
-// Upstreams couldn't renew their entries meanwhile, so the store may have dropped
-// entries of live ones: without a doubt every such upstream would lose its flows.
+// StoreRecovered notes that the store answers again after calls that failed. Upstreams couldn't renew
+// their entries meanwhile, so the store may have dropped entries of live upstreams. Removals are
+// therefore suspect for removalGrace: otherwise each such upstream would lose its flows.
 func (c *Catalog) StoreRecovered(now time.Time) {
-	c.SuspectRemovalsFor(lapseGrace, now)
+	c.SuspectRemovalsFor(removalGrace, now)
 }
 
-// SuspectRemovalsFor keeps entries that vanish within a time for the rest of it. A daemon
-// that hears the list from another takes over that one's doubt.
+// SuspectRemovalsFor makes entries that are removed within the duration d, removalGrace at most, stay in
+// use until it ends. A daemon that receives the list from another daemon takes over that daemon's
+// remaining suspicion in this way. A later end that is already set stays.
 func (c *Catalog) SuspectRemovalsFor(d time.Duration, now time.Time) {
-	if until := now.Add(min(d, lapseGrace)); until.After(c.doubtUntil) {
-		c.doubtUntil = until
+	if until := now.Add(min(d, removalGrace)); until.After(c.suspectUntil) {
+		c.suspectUntil = until
 	}
 }
 
-// RemovalSuspicion returns for how long entries that vanish are still kept.
+// RemovalSuspicion returns for how much longer removed entries are kept in use, zero if they aren't.
 func (c *Catalog) RemovalSuspicion(now time.Time) time.Duration {
-	return max(0, c.doubtUntil.Sub(now))
+	return max(0, c.suspectUntil.Sub(now))
 }
 
-// Replace takes in a whole list. It reports whether anything changed.
+// Replace replaces all entries by a complete list as of a position. A list as of an earlier position is
+// ignored; one of another epoch comes from a store that was restored from a snapshot. It reports whether
+// anything changed.
 func (c *Catalog) Replace(list []Registration, asOf objects.Position, now time.Time) bool {
 	if asOf < c.AsOf {
 		return false
@@ -103,27 +107,28 @@
 	if c.AsOf != 0 && asOf.Epoch() != c.AsOf.Epoch() {
 		return c.restore(list, asOf, now)
 	}
-	return c.advance(c.leadingTo(list), asOf, now)
+	return c.advance(c.diffTo(list), asOf, now)
 }
 
-// leadingTo returns the changes that lead to a list from the present one.
-func (c *Catalog) leadingTo(list []Registration) []Change {
+// diffTo returns the changes that lead from the present entries to a list.
+func (c *Catalog) diffTo(list []Registration) []Change {
 	var changes []Change
-	listed := make(map[bundle.UpstreamID]bool, len(list))
+	inList := make(map[bundle.UpstreamID]bool, len(list))
 	for _, r := range list {
-		listed[r.ID] = true
+		inList[r.ID] = true
 		changes = append(changes, Change{Registration: r})
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
-		if !listed[id] {
+		if !inList[id] {
 			changes = append(changes, Change{Registration: c.entries[id], Removed: true})
 		}
 	}
 	return changes
 }
 
-// Apply takes in changes that lead from the present position to asOf. It reports
-// whether anything changed. Those of another epoch lead from a list that isn't the present one.
+// Apply applies changes that lead from the present position to asOf. It reports whether anything
+// changed. It ignores changes as of an earlier position, and those of another epoch, since they were
+// made to other entries than the present ones.
 func (c *Catalog) Apply(changes []Change, asOf objects.Position, now time.Time) bool {
 	if asOf < c.AsOf || c.AsOf != 0 && asOf.Epoch() != c.AsOf.Epoch() {
 		return false
@@ -133,37 +138,37 @@
 
 func (c *Catalog) advance(changes []Change, asOf objects.Position, now time.Time) bool {
 	first := c.AsOf == 0
-	changed := c.take(changes, asOf, now)
+	changed := c.applyAll(changes, asOf, now)
 	c.AsOf = asOf
 	if first {
-		// What was listed at first isn't news, and nobody is behind it by a few changes.
-		c.log, c.forgotten = nil, asOf
+		// The entries of the first list are no changes: no member lacks only a few of them.
+		c.log, c.logStart = nil, asOf
 	}
 	return changed
 }
 
-// ApplyIfComplete takes in the latest of the changes that lead to asOf, if with them the list is the one
-// whose digest is given. Otherwise some of the earlier changes are missing, and all are to be
-// asked for from where the catalog is. It reports whether anything changed.
+// ApplyIfComplete applies the latest of the changes that lead to asOf if the resulting list has the
+// given digest. Otherwise some earlier changes are missing, it applies none, and the caller has to
+// request all changes since the catalog's position. It reports whether anything changed.
 //
-// Taking a part of them would be of no use: the list would then be one that nobody has. While
-// hundreds of upstreams are replaced, each answer to «what came after revision 100» would lead to
-// another digest than its sender's, and the whole list be asked for: 300 hosts with 3,000
-// upstreams sent 300 KB/s each.
+// Applying a part of them would leave a list that no other daemon has. While hundreds of upstreams are
+// replaced, each answer to a request for the changes after revision 100, say, would then lead to
+// another digest than its sender's, and the member would request the whole list: 300 hosts with 3,000
+// upstreams would send 300 KB/s each.
 func (c *Catalog) ApplyIfComplete(changes []Change, asOf objects.Position, digest uint64, now time.Time) bool {
 	if asOf < c.AsOf || c.AsOf == 0 || asOf.Epoch() != c.AsOf.Epoch() {
 		return false
 	}
-	changes = c.withoutFormer(changes)
+	changes = c.withoutStaleRemovals(changes)
 	if c.digestWith(changes) != digest {
 		return false
 	}
-	changed := c.take(changes, asOf, now)
+	changed := c.applyAll(changes, asOf, now)
 	c.AsOf = asOf
 	return changed
 }
 
-// digestWith returns the digest that the list would have with some changes.
+// digestWith returns the digest that the list would have with the given changes.
 func (c *Catalog) digestWith(changes []Change) uint64 {
 	sum := c.digest
 	latest := make(map[bundle.UpstreamID]*Change, len(changes))
@@ -187,10 +192,10 @@
 	return sum
 }
 
-// withoutFormer leaves out that an entry went if a later one of the same upstream is known.
-// News repeat changes: an upstream that started again would else be dropped for the end of
-// its former incarnation, for as long as the news of its new one are lost.
-func (c *Catalog) withoutFormer(changes []Change) []Change {
+// withoutStaleRemovals leaves out removals of entries of which a later revision is known.
+// Advertisements repeat changes: an upstream that has restarted would otherwise be dropped because of
+// the removal of its former incarnation, until an advertisement of the new one arrives.
+func (c *Catalog) withoutStaleRemovals(changes []Change) []Change {
 	out := make([]Change, 0, len(changes))
 	for i := range changes {
 		if ch := &changes[i]; !ch.Removed || ch.Revision >= c.entries[ch.ID].Revision {
@@ -200,8 +205,8 @@
 	return out
 }
 
-func (c *Catalog) take(changes []Change, asOf objects.Position, now time.Time) bool {
-	c.doubtMass(changes, now)
+func (c *Catalog) applyAll(changes []Change, asOf objects.Position, now time.Time) bool {
+	c.suspectMassRemoval(changes, now)
 	changed := false
 	for i := range changes {
 		changed = c.apply(changes[i], asOf, now) || changed
@@ -209,17 +214,16 @@
 	return changed
 }
 
-// doubtMass starts a doubt if a large share of the entries vanishes at once: a
-// store that lost its leases looks like this, and believing it would end every
-// flow of the zone.
-func (c *Catalog) doubtMass(changes []Change, now time.Time) {
-	gone := 0
+// suspectMassRemoval makes removals suspect if a large share of the ready entries is removed at the same
+// time. A store that lost its leases looks like this, and trusting it would end every flow of the zone.
+func (c *Catalog) suspectMassRemoval(changes []Change, now time.Time) {
+	removed := 0
 	for i := range changes {
 		if e, ok := c.entries[changes[i].ID]; ok && changes[i].Removed && !e.Draining && !e.Unusable {
-			gone++
+			removed++
 		}
 	}
-	if gone >= massLeast && float64(gone) >= massShare*float64(c.ready) {
+	if removed >= massRemovalMin && float64(removed) >= massRemovalShare*float64(c.ready) {
 		c.StoreRecovered(now)
 	}
 }
@@ -232,48 +236,48 @@
 	if !known {
 		return false
 	}
-	c.count(&old, -1)
+	c.updateTotals(&old, -1)
 	delete(c.entries, ch.ID)
-	delete(c.older, ch.ID)
+	delete(c.overridden, ch.ID)
 	c.changed[ch.ID] = struct{}{}
-	c.note(Change{Registration: old, Removed: true}, asOf, now)
-	if !old.Draining && !old.Unusable && now.Before(c.doubtUntil) || c.restoring {
-		c.vanished[ch.ID] = kept{Registration: old, until: c.doubtUntil}
+	c.logChange(Change{Registration: old, Removed: true}, asOf, now)
+	if !old.Draining && !old.Unusable && now.Before(c.suspectUntil) || c.restoring {
+		c.retained[ch.ID] = retainedEntry{Registration: old, until: c.suspectUntil}
 	}
 	return true
 }
 
-// put takes in an entry that came or changed.
+// put adds an entry, or replaces the one of the same upstream if it supersedes that.
 func (c *Catalog) put(r Registration, asOf objects.Position, now time.Time) bool {
 	old, known := c.entries[r.ID]
 	if !known {
-		// What vanished is still the last that was known of it.
-		old = c.vanished[r.ID].Registration
+		// A retained entry is the last known content of the upstream.
+		old = c.retained[r.ID].Registration
 	}
 	if r.Unusable && !r.HasContent() {
-		r = unusable(r, old)
+		r = markUnusable(r, old)
 	}
-	if _, kept := c.vanished[r.ID]; kept {
-		delete(c.vanished, r.ID)
+	if _, kept := c.retained[r.ID]; kept {
+		delete(c.retained, r.ID)
 		c.changed[r.ID] = struct{}{}
 	}
 	if known && !r.supersedes(&old) {
 		return false
 	}
 	if known {
-		c.count(&old, -1)
+		c.updateTotals(&old, -1)
 	}
-	c.count(&r, 1)
+	c.updateTotals(&r, 1)
 	c.entries[r.ID] = r
-	delete(c.older, r.ID)
+	delete(c.overridden, r.ID)
 	c.changed[r.ID] = struct{}{}
-	c.note(Change{Registration: r}, asOf, now)
+	c.logChange(Change{Registration: r}, asOf, now)
 	return true
 }
 
-// unusable returns an entry that can't be used, with what was known of the upstream
-// before. If the entry doesn't tell its revision, it counts as of the one before.
-func unusable(r, old Registration) Registration {
+// markUnusable returns an unusable entry with the content that was known of the upstream before, if
+// any. If the entry doesn't contain its revision, it gets that of the entry before.
+func markUnusable(r, old Registration) Registration {
 	revision := max(r.Revision, old.Revision)
 	if old.HasContent() {
 		r = old
@@ -282,34 +286,36 @@
 	return r
 }
 
-// count keeps up what is known of all entries: one comes, or goes if n is -1.
-func (c *Catalog) count(r *Registration, n int) {
+// updateTotals updates the digest and the number of ready entries: r is added if n is 1, and removed if
+// n is -1.
+func (c *Catalog) updateTotals(r *Registration, n int) {
 	c.digest += uint64(n) * r.digest()
 	if !r.Draining && !r.Unusable {
 		c.ready += n
 	}
 }
 
-func (c *Catalog) note(ch Change, asOf objects.Position, now time.Time) {
-	if len(c.log) == maxLog {
-		half := maxLog / 2
-		c.forgotten = c.log[half-1].asOf
+func (c *Catalog) logChange(ch Change, asOf objects.Position, now time.Time) {
+	if len(c.log) == maxLogEntries {
+		half := maxLogEntries / 2
+		c.logStart = c.log[half-1].asOf
 		c.log = slices.Delete(c.log, 0, half)
 	}
-	c.log = append(c.log, logged{at: now, asOf: asOf, change: ch})
+	c.log = append(c.log, logEntry{at: now, asOf: asOf, change: ch})
 }
 
-// HeldCounts returns how many upstreams are used otherwise than the store says: by what was known before it was restored from a
-// snapshot, in place of an older entry, or though it lacks them.
-func (c *Catalog) HeldCounts() (older, missing int) { return len(c.older), len(c.vanished) }
+// HeldCounts returns how many upstreams are used differently from what the store says: older counts
+// those used by what was known before the store was restored from a snapshot in place of the store's
+// older entry, missing those used though the store has no entry of them.
+func (c *Catalog) HeldCounts() (older, missing int) { return len(c.overridden), len(c.retained) }
 
-// Expire removes vanished entries whose time is over, and goes by the store again for those that it had an older
-// entry of. It reports whether there were any.
+// Expire removes retained entries whose time is over, and puts the store's entries in use again for
+// upstreams whose older entry was overridden, once heldUntil has passed. It reports whether anything changed.
 func (c *Catalog) Expire(now time.Time) bool {
-	changed := c.release(now)
-	for id, k := range c.vanished {
+	changed := c.releaseOverridden(now)
+	for id, k := range c.retained {
 		if now.After(k.until) {
-			delete(c.vanished, id)
+			delete(c.retained, id)
 			c.changed[id] = struct{}{}
 			changed = true
 		}
@@ -317,8 +323,7 @@
 	return changed
 }
 
-// Recent returns the changes that were taken in after a time, oldest first, at
-// most the latest n.
+// Recent returns the changes that were applied after a time, oldest first, at most the latest n.
 func (c *Catalog) Recent(after time.Time, n int) []Change {
 	var out []Change
 	for i := range c.log {
@@ -329,11 +334,11 @@
 	return out[max(0, len(out)-n):]
 }
 
-// Since returns the changes after a position, oldest first, and whether the log has
-// all of them. A member that lacks a few is sent these instead of the whole list: at
-// 3000 upstreams that is 150 KB for each member and each change that it missed.
+// Since returns the changes after a position, oldest first, and whether the log has all of them. A
+// member that lacks a few changes is sent these instead of the whole list, which at 3000 upstreams would
+// be 150 KB for each member and each change that it missed.
 func (c *Catalog) Since(asOf objects.Position) ([]Change, bool) {
-	if asOf < c.forgotten || asOf == 0 {
+	if asOf < c.logStart || asOf == 0 {
 		return nil, false
 	}
 	var out []Change
@@ -345,9 +350,9 @@
 	return out, true
 }
 
-// LastKnown returns the entries that can't be used, with what was known of them before. A
-// daemon that started since reads in the store that they can't be used, and can't know where
-// the open flows of their upstreams go.
+// LastKnown returns the unusable entries whose former content is known. A daemon that started later
+// only reads in the store that they are unusable. It needs the content to forward the open flows of
+// their upstreams.
 func (c *Catalog) LastKnown() []Change {
 	var out []Change
 	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
@@ -358,19 +363,20 @@
 	return out
 }
 
-// Digest is a sum over the store's entries, their revisions and whether they can be used.
-// Two catalogs with one digest hold the same entries of the same incarnations, so a member
-// sees without the list whether it lacks something. Vanished entries don't count: daemons
-// may doubt for different times. Nor does what was known of an unusable entry before: a
+// Digest returns a sum over the store's entries, their revisions and whether they are usable. Two
+// catalogs with the same digest hold the same entries of the same incarnations, so a member detects
+// without the list whether it lacks something. Retained entries don't count, since daemons may suspect
+// removals for different times. The former content of an unusable entry doesn't count either, since a
 // daemon that started later can't know it.
 func (c *Catalog) Digest() uint64 { return c.digest }
 
-// List returns the store's registrations in the order of their identifiers.
+// List returns the store's registrations, sorted by identifier. For an upstream that is used by a newer
+// registration than the restored store has, it returns the store's.
 func (c *Catalog) List() []Registration {
 	out := make([]Registration, 0, len(c.entries))
 	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
 		r := c.entries[id]
-		if older, ok := c.older[id]; ok {
+		if older, ok := c.overridden[id]; ok {
 			r = older
 		}
 		out = append(out, r)
@@ -378,38 +384,39 @@
 	return out
 }
 
-// TakeChanges returns the upstreams that came, changed or went since it was last called:
-// those to route by as they are now, the others as gone. Lists have thousands of entries
-// and change several times a second while upstreams are replaced, so whoever follows a
-// catalog mustn't go through all of them each time.
+// TakeChanges returns the upstreams that were added, changed or removed since its last call: those in use
+// with their present registration, the others as removed. A catalog has thousands of entries and
+// changes several times a second while upstreams are replaced, so its users must not iterate over all
+// entries for each change.
 func (c *Catalog) TakeChanges() []Change {
 	out := make([]Change, 0, len(c.changed))
 	for _, id := range slices.Sorted(maps.Keys(c.changed)) {
 		if r, ok := c.entries[id]; ok {
 			out = append(out, Change{Registration: r})
-		} else if k, ok := c.vanished[id]; ok {
+		} else if k, ok := c.retained[id]; ok {
 			out = append(out, Change{Registration: k.Registration})
 		} else {
 			out = append(out, Change{Registration: Registration{ID: id}, Removed: true})
 		}
 	}
-	// A new map: the old one may have room for the whole list, and clearing goes through it.
+	// A new map is made because the old one may be as large as the whole list, and clearing it would
+	// take time in proportion to its size.
 	c.changed = make(map[bundle.UpstreamID]struct{})
 	return out
 }
 
-// InUse returns the registrations to route by, in no particular order: the store's
-// and those that vanished from it but are still kept.
+// InUse returns the registrations to route by, in no particular order: the store's entries, or the newer
+// ones that override them, and the retained ones.
 func (c *Catalog) InUse() []Registration {
-	out := make([]Registration, 0, len(c.entries)+len(c.vanished))
+	out := make([]Registration, 0, len(c.entries)+len(c.retained))
 	for _, r := range c.entries {
 		out = append(out, r)
 	}
-	for _, k := range c.vanished {
+	for _, k := range c.retained {
 		out = append(out, k.Registration)
 	}
 	return out
 }
 
-// Len returns how many registrations the store has.
+// Len returns the number of registrations that the store has.
 func (c *Catalog) Len() int { return len(c.entries) }
--- a/internal/version/registry/catalog_test.go
+++ b/internal/version/registry/catalog_test.go
@@ -39,23 +39,23 @@
 }
 
 var _ = Describe("A catalog", func() {
-	It("never goes back to an older list", func() {
+	It("ignores a list that is older than its own", func() {
 		c := filled(3)
 		Expect(c.Replace(entries(2), 99, start)).To(BeFalse())
 		Expect(c.Apply([]registry.Change{{Registration: entry(1), Removed: true}}, 99, start)).To(BeFalse())
 		Expect(c.InUse()).To(HaveLen(3))
 	})
 
-	It("believes at once that a single upstream went", func() {
+	It("removes a single upstream from use immediately", func() {
 		c := filled(8)
 		Expect(c.Apply([]registry.Change{{Registration: entry(1), Removed: true}}, 101, start)).To(BeTrue())
 		Expect(c.InUse()).To(HaveLen(7))
 	})
 
-	// The store was down, so upstreams couldn't renew their entries. It comes back
-	// without them, and every desk's feed would be reset; two seconds later the
-	// entries are there again.
-	It("keeps entries that lapsed while the store was away until they are back", func() {
+	// While the store is down, upstreams can't renew their entries, so it recovers without them. Two
+	// seconds later the entries are there again. If the catalog removed them immediately, all flows of
+	// these upstreams would be reset.
+	It("retains entries that expired while the store was unavailable until they are registered again", func() {
 		c := filled(8)
 		c.StoreRecovered(start)
 		c.Replace(entries(5), 110, start)
@@ -63,10 +63,10 @@
 		Expect(c.Len()).To(Equal(5))
 		c.Apply([]registry.Change{{Registration: entry(7)}}, 111, start.Add(time.Second))
 		Expect(c.Expire(start.Add(3 * time.Second))).To(BeTrue())
-		Expect(c.InUse()).To(HaveLen(6), "what is still missing is gone")
+		Expect(c.InUse()).To(HaveLen(6), "what is still missing is removed")
 	})
 
-	It("doesn't keep one that was draining", func() {
+	It("doesn't retain a draining entry", func() {
 		c := registry.NewCatalog()
 		list := entries(8)
 		list[0].Draining = true
@@ -76,8 +76,8 @@
 		Expect(c.InUse()).To(HaveLen(7))
 	})
 
-	// The store lost its leases and lists nobody. Believing it would end every flow.
-	It("doubts a list that empties itself at once, though the store never failed", func() {
+	// The store lost its leases and its list is empty. Trusting it would end every flow.
+	It("suspects a list that becomes empty in one step, though no call of the store failed", func() {
 		c := filled(8)
 		c.Replace(nil, 110, start)
 		Expect(c.InUse()).To(HaveLen(8))
@@ -85,7 +85,7 @@
 		Expect(c.InUse()).To(BeEmpty())
 	})
 
-	It("tells members what changed lately, so that they reach the same digest", func() {
+	It("gives members its latest changes, so that they reach the same digest", func() {
 		c, member := filled(8), filled(8)
 		changed := entry(3)
 		changed.Draining, changed.Revision = true, 101
@@ -94,13 +94,13 @@
 		Expect(member.Digest()).NotTo(Equal(c.Digest()))
 		member.Apply(c.Recent(now.Add(-500*time.Millisecond), 10), c.AsOf, now)
 		Expect(member.Digest()).To(Equal(c.Digest()))
-		Expect(member.Apply(c.Recent(start, 10), c.AsOf, now)).To(BeFalse(), "heard twice")
+		Expect(member.Apply(c.Recent(start, 10), c.AsOf, now)).To(BeFalse(), "received twice")
 		Expect(c.Recent(start, 1)).To(HaveLen(1))
 	})
 
-	// Three hundred balancers each miss one of a hundred changes a second, and each
-	// fetches the list of 3000 upstreams from one small host, again and again.
-	It("sends a member that lacks a few changes just these", func() {
+	// Guards against each of 300 balancers fetching the list of 3000 upstreams from one small host again
+	// and again, when each misses one of a hundred changes a second.
+	It("returns only the changes that a member lacks if they are few", func() {
 		c, member := filled(8), filled(8)
 		for n := range 20 {
 			r := entry(1 + n%8)
@@ -114,12 +114,12 @@
 		member.Apply(changes, c.AsOf, start)
 		Expect(member.Digest()).To(Equal(c.Digest()))
 		_, ok = c.Since(99)
-		Expect(ok).To(BeFalse(), "the log doesn't reach back")
+		Expect(ok).To(BeFalse(), "the log begins later")
 	})
 
-	// More changed than fits one datagram. A member that takes the latest for all asks
-	// for what comes after them, and never hears of the earlier ones.
-	It("asks from where it was if the news didn't have all changes", func() {
+	// More entries changed than fit one datagram. A member that took the latest for all changes would
+	// request only what follows them, and would never receive the earlier ones.
+	It("keeps its position if an advertisement doesn't have all changes", func() {
 		c, member := filled(8), filled(8)
 		for n := range 4 {
 			r := entry(1 + n)
@@ -129,7 +129,7 @@
 		before := member.Digest()
 		Expect(member.ApplyIfComplete(c.Recent(start.Add(-time.Second), 2), c.AsOf, c.Digest(), start)).To(BeFalse())
 		Expect(member.AsOf).To(Equal(objects.Position(100)))
-		Expect(member.Digest()).To(Equal(before), "nobody has a list with some of the changes")
+		Expect(member.Digest()).To(Equal(before), "no daemon has a list with only some of the changes")
 		changes, _ := c.Since(member.AsOf)
 		member.Apply(changes, c.AsOf, start)
 		Expect(member.Digest()).To(Equal(c.Digest()))
@@ -137,12 +137,12 @@
 		Expect(member.AsOf).To(Equal(objects.Position(104)))
 	})
 
-	// Hundreds of upstreams are replaced, more at once than a datagram carries. A member hears the
-	// latest of those up to revision 108 and asks one that is as of 104 what came after 100. If it
-	// had taken in what it heard, its list would be nobody's, and it would ask for all of it: 300
+	// Hundreds of upstreams are replaced, more at a time than a datagram carries. A member receives the
+	// latest changes up to revision 108, and requests those after 100 from a member that is as of 104.
+	// If it had applied the former, its list would equal no other, and it would request whole lists: 300
 	// hosts with 3,000 upstreams then send each other 300 KB/s.
-	It("needs only the changes though it heard of later ones before", func() {
-		reader, teller, member := filled(8), filled(8), filled(8)
+	It("needs only the changes though it received later ones before", func() {
+		reader, sender, member := filled(8), filled(8), filled(8)
 		change := func(c *registry.Catalog, from, to int) {
 			for n := from; n <= to; n++ {
 				r := entry(n)
@@ -151,31 +151,31 @@
 			}
 		}
 		change(reader, 1, 8)
-		change(teller, 1, 4)
+		change(sender, 1, 4)
 		member.ApplyIfComplete(reader.Recent(start.Add(-time.Second), 2), reader.AsOf, reader.Digest(), start)
-		changes, ok := teller.Since(member.AsOf)
+		changes, ok := sender.Since(member.AsOf)
 		Expect(ok).To(BeTrue())
-		member.Apply(changes, teller.AsOf, start)
-		Expect(member.Digest()).To(Equal(teller.Digest()))
+		member.Apply(changes, sender.AsOf, start)
+		Expect(member.Digest()).To(Equal(sender.Digest()))
 		changes, _ = reader.Since(member.AsOf)
 		Expect(member.ApplyIfComplete(changes, reader.AsOf, reader.Digest(), start)).To(BeTrue())
 		Expect(member.Digest()).To(Equal(reader.Digest()))
 	})
 
-	It("has the same digest as one that doubts", func() {
-		c, doubting := filled(8), filled(8)
-		doubting.StoreRecovered(start)
+	It("has the same digest as one that suspects removals", func() {
+		c, suspicious := filled(8), filled(8)
+		suspicious.StoreRecovered(start)
 		c.Replace(entries(7), 110, start)
-		doubting.Replace(entries(7), 110, start)
-		Expect(doubting.InUse()).To(HaveLen(8))
-		Expect(doubting.Digest()).To(Equal(c.Digest()))
+		suspicious.Replace(entries(7), 110, start)
+		Expect(suspicious.InUse()).To(HaveLen(8))
+		Expect(suspicious.Digest()).To(Equal(c.Digest()))
 	})
 })
 
 var _ = Describe("The changes of a catalog", func() {
-	// Who follows the catalog by its changes must hold what it holds: an upstream that is
-	// missed gets no flow, one that is kept gets flows nobody answers.
-	It("lead to what is in use, whatever comes in which order", func() {
+	// A user that follows the catalog by its changes must hold what the catalog holds: an upstream
+	// that it misses gets no flow, and one that it keeps gets flows that nobody answers.
+	It("lead to what is in use, whatever their kind and order", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			c, now, asOf := registry.NewCatalog(), start, objects.Position(100)
 			mirror := make(map[bundle.UpstreamID]registry.Registration)
@@ -196,7 +196,7 @@
 					r := entry(rapid.IntRange(1, 12).Draw(t, "upstream"))
 					r.Revision = asOf
 					r.Draining = rapid.Bool().Draw(t, "draining")
-					c.Apply([]registry.Change{{Registration: r, Removed: rapid.Bool().Draw(t, "gone")}}, asOf, now)
+					c.Apply([]registry.Change{{Registration: r, Removed: rapid.Bool().Draw(t, "removed")}}, asOf, now)
 				},
 				"outage": func(*rapid.T) { c.StoreRecovered(now) },
 				"time": func(t *rapid.T) {
@@ -225,12 +225,12 @@
 	})
 })
 
-var _ = Describe("A catalog with an entry that can't be used", func() {
+var _ = Describe("A catalog with an unusable entry", func() {
 	bad := func(n int, revision objects.Position) registry.Change {
 		r := registry.Registration{ID: bundle.UpstreamID(n), Revision: revision, Unusable: true}
 		return registry.Change{Registration: r}
 	}
-	// overwritten returns changes after which the first n entries can't be used.
+	// overwritten returns changes that make the first n entries unusable.
 	overwritten := func(n int) []registry.Change {
 		out := make([]registry.Change, 0, n)
 		for i := range n {
@@ -247,22 +247,22 @@
 		return registry.Registration{}
 	}
 
-	// A tool overwrites an upstream's entry. Its open flows must still find its address,
-	// and new flows must not go there for ever, as they did when the change was left out.
-	It("knows what was known before, and that it no longer holds", func() {
+	// Another program overwrites an upstream's entry. The address is still needed for its open flows, and
+	// new flows must not go there. Guards against leaving out the change, which places flows there forever.
+	It("keeps the former content and marks it as unusable", func() {
 		c := filled(3)
 		Expect(c.Apply([]registry.Change{bad(2, 101)}, 101, start)).To(BeTrue())
 		r := inUse(c, 2)
 		Expect(r.Unusable).To(BeTrue())
 		Expect(r.Address).To(Equal(entry(2).Address))
-		Expect(c.Apply([]registry.Change{bad(2, 101)}, 101, start)).To(BeFalse(), "heard twice")
+		Expect(c.Apply([]registry.Change{bad(2, 101)}, 101, start)).To(BeFalse(), "received twice")
 		good := entry(2)
 		good.Revision = 102
 		c.Apply([]registry.Change{{Registration: good}}, 102, start)
 		Expect(inUse(c, 2)).To(Equal(good))
 	})
 
-	It("takes a whole list with one in it", func() {
+	It("applies a whole list that contains an unusable entry", func() {
 		c := filled(3)
 		list := entries(3)
 		list[1] = bad(2, 101).Registration
@@ -271,9 +271,9 @@
 		Expect(inUse(c, 2).Unusable).To(BeTrue())
 	})
 
-	// The entry doesn't even tell its revision. Members that heard of it and those that
-	// didn't must see that they differ, or half of them go on placing flows there.
-	It("has another digest, also if the entry doesn't tell its revision", func() {
+	// The entry doesn't even contain its revision. Members that received it and those that didn't must
+	// detect that they differ, or half of them go on placing flows there.
+	It("has another digest, even if the entry doesn't contain its revision", func() {
 		c, member := filled(3), filled(3)
 		c.Apply([]registry.Change{bad(2, 0)}, 101, start)
 		Expect(inUse(c, 2).Unusable).To(BeTrue())
@@ -281,11 +281,11 @@
 		member.Apply(c.Recent(start.Add(-time.Second), 10), c.AsOf, start)
 		Expect(member.Digest()).To(Equal(c.Digest()))
 		c.Apply([]registry.Change{{Registration: entry(2)}}, 102, start)
-		Expect(inUse(c, 2).Unusable).To(BeTrue(), "a late word of the same revision")
+		Expect(inUse(c, 2).Unusable).To(BeTrue(), "a late message as of the same revision")
 	})
 
-	// One daemon started after the entry was overwritten and has never seen its content.
-	It("agrees with a member that knows the content, and takes it from there", func() {
+	// One daemon started after the entry was overwritten and has never received its content.
+	It("agrees with a member that knows the content, and takes over the content from it", func() {
 		c := filled(3)
 		c.Apply([]registry.Change{bad(2, 101)}, 101, start)
 		late := registry.NewCatalog()
@@ -296,10 +296,9 @@
 		Expect(inUse(late, 2).Address).To(Equal(entry(2).Address))
 	})
 
-	// Half of the entries were overwritten; then the store loses half of the rest at once.
-	// That is a mass loss: believing it would end the flows of half of the upstreams that
-	// are left.
-	It("doesn't count when a mass loss is judged, neither among those that vanish", func() {
+	// Half of the entries were overwritten; then the store loses half of the rest in one step. That is a
+	// mass removal: trusting it would end the flows of half of the remaining upstreams.
+	It("counts no unusable entry when it detects a mass removal", func() {
 		c := filled(12)
 		c.Apply(overwritten(6), 110, start)
 		c.Replace(entries(12)[:9], 120, start)
@@ -308,12 +307,12 @@
 		c = filled(12)
 		c.Apply(overwritten(6), 110, start)
 		c.Replace(entries(12)[6:], 120, start)
-		Expect(c.RemovalSuspicion(start)).To(BeZero(), "the tool removed its entries again")
+		Expect(c.RemovalSuspicion(start)).To(BeZero(), "the other program removed its entries again")
 	})
 
-	// An entry lapsed while the store was away. What comes back under its name is another
-	// writer's; the upstream's flows are still open.
-	It("is known by what vanished before", func() {
+	// An entry expired while the store was unavailable. What is then written under its name is another
+	// program's; the upstream's flows are still open.
+	It("uses the content of a retained entry as its former content", func() {
 		c := filled(8)
 		c.StoreRecovered(start)
 		c.Apply([]registry.Change{{Registration: entry(2), Removed: true}, bad(2, 103)}, 103, start)
@@ -321,7 +320,7 @@
 		Expect(inUse(c, 2).Unusable).To(BeTrue())
 	})
 
-	It("isn't kept if it vanishes while the list is doubted", func() {
+	It("doesn't retain an unusable entry that is removed while removals are suspect", func() {
 		c := filled(8)
 		c.Apply([]registry.Change{bad(2, 101)}, 101, start)
 		c.StoreRecovered(start)
@@ -331,11 +330,10 @@
 	})
 })
 
-var _ = Describe("An entry of an upstream that started again", func() {
-	// An upstream crashes, its entry lapses and the new incarnation registers. A member
-	// that already knows of it is told the earlier end late, and would drop a live
-	// upstream.
-	It("isn't dropped for the end of its former incarnation", func() {
+var _ = Describe("An entry of an upstream that restarted", func() {
+	// An upstream crashes, its entry expires and the new incarnation registers. A member that already has
+	// the new entry receives the earlier removal late, and would drop a live upstream.
+	It("isn't removed because of the removal of its former incarnation", func() {
 		c := filled(3)
 		again := entry(2)
 		again.Revision, again.StartTime = 105, 1_764_720_000_000
@@ -359,13 +357,13 @@
 		"certainly by a later start":                         {later, registry.RestartCertain},
 		"certainly by another service":                       {moves, registry.RestartCertain},
 		"probably by an earlier start":                       {earlier, registry.RestartLikely},
-		"probably by a sequence that falls, without a start": {noStart, registry.RestartLikely},
+		"probably by a lower sequence, without a start time": {noStart, registry.RestartLikely},
 		"probably by a warm-up that begins, without a start": {warms, registry.RestartLikely},
-		"not by a sequence that falls at the same start":     {sequenceFalls, registry.RestartNone},
+		"not by a lower sequence at the same start":          {sequenceFalls, registry.RestartNone},
 		"not by draining":                                    {drains, registry.RestartNone},
-		"not if it can't be used":                            {unreadable, registry.RestartNone},
+		"not if it is unusable":                              {unreadable, registry.RestartNone},
 	} {
-		It("shows it "+name, func() {
+		It("shows the restart "+name, func() {
 			before := entry(1)
 			before.StartTime, before.Sequence = 1_764_720_000_000, 40
 			after := before
--- a/internal/version/registry/history_test.go
+++ b/internal/version/registry/history_test.go
@@ -19,12 +19,12 @@
 	historyCatalogs  = 3
 )
 
-// historyStore is a store that is restored from snapshots, with all that it ever said.
+// historyStore is a store that is restored from snapshots, together with its history.
 type historyStore struct {
 	epoch    objects.Epoch
 	revision uint64
 	entries  map[int]registry.Registration
-	// events are those of the present epoch and, as far as the snapshot has them, of those before.
+	// events are those of the present epoch, and those of earlier epochs as far as the snapshot has them.
 	events    []historyEvent
 	snapshots []historyStore
 }
@@ -54,7 +54,7 @@
 	s.revision, s.entries, s.events = c.revision, maps.Clone(c.entries), slices.Clone(c.events)
 }
 
-// list returns the entries as an answer of now tells them.
+// list returns the entries as the store's present answer has them.
 func (s *historyStore) list() []registry.Registration {
 	out := make([]registry.Registration, 0, len(s.entries))
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
@@ -65,7 +65,7 @@
 	return out
 }
 
-// since returns what a watch tells, false if it has no such history.
+// since returns the changes that a watch returns, and false if the store lacks this history.
 func (s *historyStore) since(after objects.Position) ([]registry.Change, bool) {
 	if after.Epoch() != s.epoch || after.Revision() > s.revision {
 		return nil, false
@@ -81,28 +81,28 @@
 	return out, true
 }
 
-// told is a word on its way: a list, or changes that lead on from a position.
-type told struct {
+// message is an answer on its way to a catalog: a list, or changes since a position.
+type message struct {
 	list    []registry.Registration
 	changes []registry.Change
-	listed  bool
+	isList  bool
 	asOf    objects.Position
 }
 
-// historyWorld is upstreams that write to a store, and catalogs that read it and tell each other.
+// historyWorld consists of upstreams that write to a store, and catalogs that read it and exchange changes.
 type historyWorld struct {
 	t        *rapid.T
 	store    historyStore
 	now      time.Time
 	catalogs [historyCatalogs]*registry.Catalog
-	// truth is how each upstream is, which it has written unless the store lost it.
-	truth [historyUpstreams]registry.Registration
-	late  []told
-	// drained are the upstreams whose drain each catalog has routed by, epochs and crossed the epoch that it holds and
-	// when it took that in.
-	drained [historyCatalogs]map[int]bool
-	epochs  [historyCatalogs]objects.Epoch
-	crossed [historyCatalogs]time.Time
+	// actual is the state of each upstream, which it has written unless the store lost it.
+	actual  [historyUpstreams]registry.Registration
+	delayed []message
+	// drained holds, for each catalog, the upstreams whose drain it has routed by. epochs and epochSince hold the epoch
+	// of each catalog and when it reached that.
+	drained    [historyCatalogs]map[int]bool
+	epochs     [historyCatalogs]objects.Epoch
+	epochSince [historyCatalogs]time.Time
 }
 
 func newHistoryWorld(t *rapid.T) *historyWorld {
@@ -111,9 +111,9 @@
 		w.catalogs[i] = registry.NewCatalog()
 		w.drained[i] = make(map[int]bool)
 	}
-	for i := range w.truth {
-		w.truth[i] = beat(i+1, 0, 1, false)
-		w.store.write(w.truth[i])
+	for i := range w.actual {
+		w.actual[i] = heartbeat(i+1, 0, 1, false)
+		w.store.write(w.actual[i])
 	}
 	w.store.snapshot()
 	return w
@@ -125,31 +125,31 @@
 	u := w.any(historyUpstreams, "upstream")
 	c := w.catalogs[w.any(historyCatalogs, "catalog")]
 	switch w.any(10, "event") {
-	case 0: // It writes again what it is.
-		w.truth[u].Sequence++
-		w.store.write(w.truth[u])
+	case 0: // The upstream writes its state again.
+		w.actual[u].Sequence++
+		w.store.write(w.actual[u])
 	case 1:
-		w.truth[u].Draining = true
-		w.truth[u].Sequence++
-		w.store.write(w.truth[u])
+		w.actual[u].Draining = true
+		w.actual[u].Sequence++
+		w.store.write(w.actual[u])
 	case 2:
 		w.store.snapshot()
 	case 3:
 		w.store.restore(&w.store.snapshots[w.any(len(w.store.snapshots), "snapshot")])
 	case 4:
-		w.deliver(c, told{list: w.store.list(), listed: true, asOf: w.store.asOf()})
+		w.deliver(c, message{list: w.store.list(), isList: true, asOf: w.store.asOf()})
 	case 5:
 		if changes, ok := w.store.since(c.AsOf); ok && c.AsOf != 0 {
-			w.deliver(c, told{changes: changes, asOf: w.store.asOf()})
+			w.deliver(c, message{changes: changes, asOf: w.store.asOf()})
 		}
-	case 6: // A word that is under way for a while.
-		w.late = append(w.late, told{list: w.store.list(), listed: true, asOf: w.store.asOf()})
+	case 6: // An answer is delayed.
+		w.delayed = append(w.delayed, message{list: w.store.list(), isList: true, asOf: w.store.asOf()})
 	case 7:
-		if len(w.late) > 0 {
-			w.deliver(c, w.late[w.any(len(w.late), "word")])
+		if len(w.delayed) > 0 {
+			w.deliver(c, w.delayed[w.any(len(w.delayed), "message")])
 		}
-	case 8: // News between daemons, and the whole list if they don't lead there.
-		w.tell(w.catalogs[w.any(historyCatalogs, "teller")], c)
+	case 8: // One daemon sends another its changes, or its whole list if the changes don't suffice.
+		w.advertise(w.catalogs[w.any(historyCatalogs, "sender")], c)
 	case 9:
 		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(w.t, "milliseconds")) * time.Millisecond)
 		for _, c := range w.catalogs {
@@ -158,7 +158,7 @@
 	}
 }
 
-func (w *historyWorld) tell(from, to *registry.Catalog) {
+func (w *historyWorld) advertise(from, to *registry.Catalog) {
 	if from == to || from.AsOf == 0 {
 		return
 	}
@@ -166,27 +166,27 @@
 	if ok && to.ApplyIfComplete(changes, from.AsOf, from.Digest(), w.now) {
 		return
 	}
-	w.deliver(to, told{list: from.List(), listed: true, asOf: from.AsOf})
+	w.deliver(to, message{list: from.List(), isList: true, asOf: from.AsOf})
 }
 
-func (w *historyWorld) deliver(c *registry.Catalog, word told) {
+func (w *historyWorld) deliver(c *registry.Catalog, msg message) {
 	before := c.AsOf
-	if word.listed {
-		c.Replace(word.list, word.asOf, w.now)
+	if msg.isList {
+		c.Replace(msg.list, msg.asOf, w.now)
 	} else {
-		c.Apply(word.changes, word.asOf, w.now)
+		c.Apply(msg.changes, msg.asOf, w.now)
 	}
 	if c.AsOf < before {
-		w.t.Fatalf("a catalog went back from %v to %v", before, c.AsOf)
+		w.t.Fatalf("a catalog's position went back from %v to %v", before, c.AsOf)
 	}
 }
 
-// check judges what must hold at every moment: a drain that a catalog has routed by isn't undone, since upstreams
-// never take it back here, unless the store, restored from a snapshot, told for the whole grace that it isn't so.
+// check verifies what must hold at every moment. A drain that a catalog has routed by isn't undone, since upstreams
+// never end a drain here, unless the store, after a restore from a snapshot, has lacked it for the whole grace period.
 func (w *historyWorld) check() {
 	for i, c := range w.catalogs {
 		if e := c.AsOf.Epoch(); e != w.epochs[i] {
-			w.epochs[i], w.crossed[i] = e, w.now
+			w.epochs[i], w.epochSince[i] = e, w.now
 		}
 		for _, r := range c.InUse() {
 			id := int(r.ID)
@@ -194,38 +194,39 @@
 			case r.Draining:
 				w.drained[i][id] = true
 			case !w.drained[i][id]:
-			case w.epochs[i] > 0 && w.now.Sub(w.crossed[i]) >= objects.RestoreGrace:
+			case w.epochs[i] > 0 && w.now.Sub(w.epochSince[i]) >= objects.RestoreGrace:
 				delete(w.drained[i], id)
 			default:
-				w.t.Fatalf("catalog %d takes upstream %d for ready as of %v, after it routed by its drain", i, id, c.AsOf)
+				w.t.Fatalf("catalog %d routes upstream %d as ready as of %v, after it routed by its drain", i, id, c.AsOf)
 			}
 		}
 	}
 	for i, c := range w.catalogs {
 		for j, o := range w.catalogs[:i] {
 			if c.AsOf == o.AsOf && c.AsOf != 0 && c.Digest() == o.Digest() && fmt.Sprint(c.List()) != fmt.Sprint(o.List()) {
-				w.t.Fatalf("catalogs %d and %d agree on %v and hold\n%v\n%v", j, i, c.AsOf, o.List(), c.List())
+				w.t.Fatalf("catalogs %d and %d are both as of %v but hold\n%v\n%v", j, i, c.AsOf, o.List(), c.List())
 			}
 		}
 	}
 }
 
-// settle lets all upstreams write again, each catalog read the store and the grace go by. Then each routes by the truth.
+// settle lets all upstreams write again, each catalog read the store and the grace period pass. Then each catalog must
+// route by the actual state.
 func (w *historyWorld) settle() {
-	for i := range w.truth {
-		w.truth[i].Sequence++
-		w.store.write(w.truth[i])
+	for i := range w.actual {
+		w.actual[i].Sequence++
+		w.store.write(w.actual[i])
 	}
 	for i, c := range w.catalogs {
 		if changes, ok := w.store.since(c.AsOf); ok && c.AsOf != 0 {
-			w.deliver(c, told{changes: changes, asOf: w.store.asOf()})
+			w.deliver(c, message{changes: changes, asOf: w.store.asOf()})
 		} else {
-			w.deliver(c, told{list: w.store.list(), listed: true, asOf: w.store.asOf()})
+			w.deliver(c, message{list: w.store.list(), isList: true, asOf: w.store.asOf()})
 		}
 		c.Expire(w.now.Add(2 * objects.RestoreGrace))
-		for _, u := range w.truth {
+		for _, u := range w.actual {
 			if r, ok := inUse(c, u.ID); !ok || r.Draining != u.Draining {
-				w.t.Fatalf("catalog %d routes by %+v, the truth is %+v", i, r, u)
+				w.t.Fatalf("catalog %d routes by %+v, actual state is %+v", i, r, u)
 			}
 		}
 		if len(c.InUse()) != historyUpstreams {
@@ -234,8 +235,8 @@
 	}
 }
 
-// Guards against any order of writes, snapshots, restores, answers and news in which a catalog goes back, undoes a drain, or
-// agrees with another one on a position and not on the content.
+// Guards against any order of writes, snapshots, restores, answers and advertisements in which a catalog's position goes
+// back, a drain is undone, or two catalogs agree on a position and not on the content.
 func TestCatalogsOverRestoresOfTheStore(t *testing.T) {
 	seeds.Fix()
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/version/registry/registration.go
+++ b/internal/version/registry/registration.go
@@ -1,6 +1,5 @@
-// Package registry keeps the upstreams that register themselves with the
-// platform's store: what is known of each, as of which revision, and when an
-// entry that vanished is believed to be gone.
+// Package registry keeps the registrations of upstreams in the platform's store: what is known of each
+// upstream, as of which revision, and when an upstream whose entry was removed counts as removed.
 package registry
 
 import (
@@ -15,43 +14,43 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// UnixMilli is a time of the day as milliseconds since 1970. It tells incarnations of one
-// upstream apart and orders them; it is never compared with a clock of this host.
+// UnixMilli is a point in time in milliseconds since 1970. It distinguishes and orders the incarnations of
+// one upstream; it is never compared with a clock of this host.
 type UnixMilli int64
 
-// Registration is what an upstream says of itself. It may start again under the
-// identifier that it had; Restarted tells one incarnation from the next.
+// Registration is what an upstream reports of itself. An upstream may restart under the same identifier;
+// Restarted distinguishes one incarnation from the next.
 type Registration struct {
-	// The wire form is an array: the names of fields would be most of its bytes.
+	// The wire form is an array, since field names would make up most of its bytes.
 	_       struct{} `cbor:",toarray"`
 	ID      bundle.UpstreamID
 	Service string
-	// Address takes datagrams of flows (UDP) and health requests (TCP).
+	// Address receives datagrams of flows (UDP) and health requests (TCP).
 	Address netip.AddrPort
 	Zone    bundle.Zone
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the upstream works on concurrently.
 	Slots int
-	// Draining upstreams get no new flow; they keep those they have.
+	// Draining upstreams get no new flow; they keep their open flows.
 	Draining bool
-	// Warmup is how much longer the upstream is slow after its start, counted from
-	// the entry's last change.
+	// Warmup is for how much longer the upstream is slow after its start, counted from the entry's
+	// last change.
 	Warmup time.Duration
-	// Created and Revision order entries: see objects.Object.
+	// Created and Revision order entries, see objects.Object.
 	Created, Revision objects.Position
-	// StartTime is when the upstream started, zero if it doesn't tell.
+	// StartTime is when the upstream started, zero if it doesn't say.
 	StartTime UnixMilli
-	// Sequence counts the upstream's heartbeats from its start.
+	// Sequence counts the upstream's heartbeats since its start.
 	Sequence uint64
-	// Unusable says that the store's entry can't be read or isn't an upstream's, as after
-	// another writer has replaced it. The rest is what was known before, for the flows
-	// that are open there, or empty. It takes no new flow.
+	// Unusable says that the store's entry can't be read or isn't an upstream's, for example because
+	// another writer has replaced it. The other fields then hold what was known before, so that the
+	// upstream's open flows can go on, or are empty. The upstream gets no new flow.
 	Unusable bool
 }
 
-// ErrRegistration is returned for an entry that can't be used.
+// ErrRegistration is returned for an entry that is unusable.
 var ErrRegistration = eris.New("registry: unusable entry")
 
-// Check reports why a decoded registration can't be used, or nil.
+// Check returns an error that says why a decoded registration is unusable, or nil.
 func (r *Registration) Check() error {
 	switch {
 	case r.ID == 0:
@@ -69,40 +68,39 @@
 	case r.Warmup < 0 || r.Warmup > maxWarmup:
 		return eris.Wrapf(ErrRegistration, "warm-up is %v, want at most %v", r.Warmup, maxWarmup)
 	case r.StartTime < 0:
-		return eris.Wrapf(ErrRegistration, "start is %d", r.StartTime)
+		return eris.Wrapf(ErrRegistration, "start time is %d, want at least 0", r.StartTime)
 	}
 	return nil
 }
 
-// maxWarmup bounds what an entry may claim. The users' upstreams are slow for seconds; an
-// entry that claims days is a mistake of its writer.
+// maxWarmup bounds what an entry may claim. Upstreams are slow for seconds after their start; an entry that
+// claims days is an error of its writer.
 const maxWarmup = time.Hour
 
-// HasContent reports whether there is a content, be it that of before.
+// HasContent reports whether the registration has a content, be it the former content of an unusable entry.
 func (r *Registration) HasContent() bool { return r.Address.IsValid() }
 
-// SameContent reports whether both say the same, as of whatever position.
+// SameContent reports whether both registrations are equal apart from their positions.
 func (r *Registration) SameContent(o *Registration) bool {
 	same := *r
 	same.Created, same.Revision = o.Created, o.Revision
 	return same == *o
 }
 
-// Restart is what an entry shows of a new incarnation of its upstream.
+// Restart says how strongly an entry indicates a new incarnation of its upstream.
 type Restart uint8
 
-// The kinds of evidence.
+// The strengths of the indication.
 const (
 	RestartNone Restart = iota
-	// RestartLikely: a sequence that falls or a warm-up that begins. A write of the same
-	// incarnation that reached the store late looks like this too, so nothing may be ended
-	// by it.
+	// RestartLikely means that the sequence fell or a warm-up began. A write of the same incarnation
+	// that reached the store late looks like this too, so no flow may be ended because of it.
 	RestartLikely
-	// RestartCertain: the upstream tells a later start, or is of another service.
+	// RestartCertain means that the upstream reports a later start, or belongs to another service.
 	RestartCertain
 )
 
-// Restarted reports what an entry shows beside the one that was known before.
+// Restarted reports whether the entry, compared with the one known before, shows that the upstream restarted.
 func (r *Registration) Restarted(before *Registration) Restart {
 	switch {
 	case !r.HasContent() || !before.HasContent() || r.Unusable:
@@ -114,7 +112,7 @@
 	case r.StartTime != 0 && r.StartTime == before.StartTime:
 		return RestartNone
 	case r.StartTime < before.StartTime && r.StartTime != 0:
-		// Its clock was set back between the two, or an earlier incarnation's write came late.
+		// Its clock was set back between the two, or a write of an earlier incarnation arrived late.
 		return RestartLikely
 	case r.Sequence < before.Sequence, r.Warmup > before.Warmup:
 		return RestartLikely
@@ -122,9 +120,9 @@
 	return RestartNone
 }
 
-// supersedes reports whether the entry takes the place of one of the same upstream. At one
-// revision the word that it is unusable counts, so that daemons agree in whatever order they
-// hear the two, and what was known of it before is taken from whoever knows it.
+// supersedes reports whether the entry replaces another entry of the same upstream. At the same revision, an
+// unusable entry replaces a usable one, so that daemons agree whatever the order in which they receive the
+// two. Between two unusable ones, the one with the former content wins.
 func (r *Registration) supersedes(old *Registration) bool {
 	switch {
 	case r.Revision != old.Revision:
@@ -135,8 +133,8 @@
 	return r.Unusable && r.HasContent() && !old.HasContent()
 }
 
-// precedes reports whether an entry of a snapshot is of an earlier time than what is known of the same
-// upstream: of a former incarnation, or of an earlier heartbeat.
+// precedes reports whether an entry of a snapshot is older than what is known of the same upstream: of a
+// former incarnation, or of an earlier heartbeat.
 func (r *Registration) precedes(known *Registration) bool {
 	switch {
 	case !r.HasContent() || !known.HasContent() || r.Unusable || known.Unusable:
@@ -149,7 +147,7 @@
 	return r.Sequence < known.Sequence
 }
 
-// digest is the entry's part of the digest of a list.
+// digest returns the entry's contribution to the digest of a catalog.
 func (r *Registration) digest() uint64 {
 	var b [17]byte
 	binary.BigEndian.PutUint64(b[:8], uint64(r.ID))
@@ -160,7 +158,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Change is a registration that came, changed or went.
+// Change is a registration that was added, changed or removed.
 type Change struct {
 	_ struct{} `cbor:",toarray"`
 	Registration
--- a/internal/version/registry/restored.go
+++ b/internal/version/registry/restored.go
@@ -9,29 +9,31 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// restore takes in the list of a store that was restored from a snapshot. What is later known of an upstream than the
-// snapshot says stays in force until the upstream writes again, for objects.RestoreGrace at most. An upstream that
-// the snapshot lacks is kept as one whose entry lapsed while the store was away. It reports whether anything changed.
+// restore applies the list of a store that was restored from a snapshot. If something later is known of an
+// upstream than the snapshot says, that stays in use until the upstream writes again, for objects.RestoreGrace
+// at most. An upstream that the snapshot lacks is retained, like one whose entry expired while the store was
+// unavailable. It reports whether anything changed.
 func (c *Catalog) restore(list []Registration, asOf objects.Position, now time.Time) bool {
-	c.restoredUntil = now.Add(objects.RestoreGrace)
+	c.heldUntil = now.Add(objects.RestoreGrace)
 	c.StoreRecovered(now)
-	list, older := c.withLater(list)
+	list, older := c.overrideOlder(list)
 	c.restoring = true
-	changed := c.advance(c.leadingTo(list), asOf, now)
+	changed := c.advance(c.diffTo(list), asOf, now)
 	c.restoring = false
-	c.older = older
-	// Whoever is behind by changes of an earlier epoch needs the whole list.
-	c.log, c.forgotten = nil, asOf
+	c.overridden = older
+	// A member whose changes are of an earlier epoch needs the whole list.
+	c.log, c.logStart = nil, asOf
 	return changed
 }
 
-// withLater returns a list of the store with what is later known of its upstreams, and what the store says of these.
-func (c *Catalog) withLater(list []Registration) (out []Registration, older map[bundle.UpstreamID]Registration) {
+// overrideOlder returns the store's list with each entry replaced by what is known of its upstream, if that is
+// newer. The entries that were replaced are returned in older.
+func (c *Catalog) overrideOlder(list []Registration) (out []Registration, older map[bundle.UpstreamID]Registration) {
 	departed := c.departed()
 	older = make(map[bundle.UpstreamID]Registration)
 	out = make([]Registration, 0, len(list))
 	for _, r := range list {
-		later, ok := c.laterThan(&r, departed)
+		later, ok := c.newerThan(&r, departed)
 		if ok {
 			older[r.ID] = r
 			later.Created, later.Revision = r.Created, r.Revision
@@ -42,20 +44,22 @@
 	return out, older
 }
 
-// laterThan returns what is known of an upstream if that is later than an entry of a snapshot. An upstream that had left
-// is back with the snapshot, and still takes no new flow.
-func (c *Catalog) laterThan(r *Registration, departed map[bundle.UpstreamID]Registration) (Registration, bool) {
+// newerThan returns what is known of an upstream, and whether that is newer than its entry r from a snapshot. An
+// upstream that had deregistered is in the list again because of the snapshot. It counts as draining as before and
+// still gets no new flow.
+func (c *Catalog) newerThan(r *Registration, departed map[bundle.UpstreamID]Registration) (Registration, bool) {
 	if old, ok := departed[r.ID]; ok {
 		return old, r.Restarted(&old) != RestartCertain && r.Sequence <= old.Sequence
 	}
 	old, ok := c.entries[r.ID]
 	if !ok {
-		old = c.vanished[r.ID].Registration
+		old = c.retained[r.ID].Registration
 	}
 	return old, r.precedes(&old)
 }
 
-// departed returns the upstreams that drained and left lately, as they were last.
+// departed returns the upstreams that drained and then deregistered, as far as the log has them, with their last
+// registration.
 func (c *Catalog) departed() map[bundle.UpstreamID]Registration {
 	out := make(map[bundle.UpstreamID]Registration)
 	for i := range c.log {
@@ -69,58 +73,60 @@
 	return out
 }
 
-// release puts what the store says in force once the time is over for which something later was.
-func (c *Catalog) release(now time.Time) bool {
-	if len(c.older) == 0 || now.Before(c.restoredUntil) {
+// releaseOverridden puts the store's overridden entries in use once heldUntil has passed. It reports whether there were
+// any.
+func (c *Catalog) releaseOverridden(now time.Time) bool {
+	if len(c.overridden) == 0 || now.Before(c.heldUntil) {
 		return false
 	}
-	for id, r := range c.older {
+	for id, r := range c.overridden {
 		old := c.entries[id]
-		c.count(&old, -1)
-		c.count(&r, 1)
+		c.updateTotals(&old, -1)
+		c.updateTotals(&r, 1)
 		c.entries[id] = r
 		c.changed[id] = struct{}{}
 	}
-	clear(c.older)
+	clear(c.overridden)
 	return true
 }
 
-// HeldEntries returns the upstreams that are used by what was known of them in place of an older entry of the restored
-// store, and for how long, for a daemon that started since and can't know it.
+// HeldEntries returns the registrations that are used in place of an older entry of the restored store, and for how
+// much longer. A daemon that started after the restore can only learn them from another daemon.
 func (c *Catalog) HeldEntries(now time.Time) ([]Registration, time.Duration) {
-	left := c.restoredUntil.Sub(now)
+	left := c.heldUntil.Sub(now)
 	if left <= 0 {
 		return nil, 0
 	}
 	var out []Registration
-	for _, id := range slices.Sorted(maps.Keys(c.older)) {
+	for _, id := range slices.Sorted(maps.Keys(c.overridden)) {
 		out = append(out, c.entries[id])
 	}
 	return out, left
 }
 
-// HoldEntries takes over what another daemon holds back of the same list, for a time. It reports whether anything changed.
+// HoldEntries takes over the registrations that another daemon uses in place of older entries of the same list, for the
+// duration left, objects.RestoreGrace at most. It reports whether anything changed.
 func (c *Catalog) HoldEntries(list []Registration, left time.Duration, now time.Time) bool {
 	changed := false
 	for _, later := range list {
-		changed = c.holdBack(later) || changed
+		changed = c.holdEntry(later) || changed
 	}
-	if until := now.Add(min(left, objects.RestoreGrace)); changed && until.After(c.restoredUntil) {
-		c.restoredUntil = until
+	if until := now.Add(min(left, objects.RestoreGrace)); changed && until.After(c.heldUntil) {
+		c.heldUntil = until
 	}
 	return changed
 }
 
-// holdBack puts what is later known of an upstream in place of its entry, if that has not changed since. It reports
-// whether it did.
-func (c *Catalog) holdBack(later Registration) bool {
-	r, listed := c.entries[later.ID]
-	if _, held := c.older[later.ID]; held || !listed || later.Revision != r.Revision {
+// holdEntry puts a later registration in place of the entry of its upstream, unless that entry has changed since or is
+// already overridden. It reports whether it did.
+func (c *Catalog) holdEntry(later Registration) bool {
+	r, registered := c.entries[later.ID]
+	if _, held := c.overridden[later.ID]; held || !registered || later.Revision != r.Revision {
 		return false
 	}
-	c.older[later.ID] = r
-	c.count(&r, -1)
-	c.count(&later, 1)
+	c.overridden[later.ID] = r
+	c.updateTotals(&r, -1)
+	c.updateTotals(&later, 1)
 	c.entries[later.ID] = later
 	c.changed[later.ID] = struct{}{}
 	return true
