--- a/internal/connection/caller/cluster_test.go
+++ b/internal/connection/caller/cluster_test.go
@@ -141,11 +141,11 @@
 }
 
 func (c *cluster) changes(recent bool) peer.Changes {
-	ch := peer.Changes{Recent: recent, Unsettled: recent, Lost: slices.Clone(c.lost)}
+	ch := peer.Changes{RecentlyChanged: recent, RepeatsPossible: recent, Lost: slices.Clone(c.lost)}
 	for _, n := range c.nodes {
 		n.fresh = n.fresh && recent
 		if n.fresh {
-			ch.Fresh = append(ch.Fresh, n.member.ID)
+			ch.RecentlyJoined = append(ch.RecentlyJoined, n.member.ID)
 		}
 	}
 	return ch
@@ -230,7 +230,7 @@
 	if !n.up || n.paused {
 		return caller.CauseNone
 	}
-	n.engine.Awake(c.now)
+	n.engine.DetectPause(c.now)
 	p, cause := n.decode.Decode(n.engine, c.key, src, b)
 	if cause != caller.CauseNone {
 		return cause
@@ -308,7 +308,7 @@
 func (c *cluster) homeOf(r request) *node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
-	return c.nodeAt(c.nodes[0].engine.View().Home(k.Hash()).Data.Addr())
+	return c.nodeAt(c.nodes[0].engine.View().Owner(k.Hash()).Data.Addr())
 }
 
 // flowsAt returns how many flows of a service all nodes count together.
@@ -317,7 +317,7 @@
 	for _, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
 			if u.Service.Name == service {
-				sum += n.engine.Board.Load(u.ID).Flows.Load()
+				sum += n.engine.Loads.Load(u.ID).Flows.Load()
 			}
 		}
 	}
@@ -329,7 +329,7 @@
 func (c *cluster) unlikeLoads() {
 	for i, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
-			n.engine.Board.Load(u.ID).Flows.Add(int64(u.ID>>(i%16)) & 7)
+			n.engine.Loads.Load(u.ID).Flows.Add(int64(u.ID>>(i%16)) & 7)
 		}
 	}
 }
--- a/internal/connection/caller/flow_test.go
+++ b/internal/connection/caller/flow_test.go
@@ -228,7 +228,7 @@
 				}
 			}
 			late := c.other(home)
-			late.engine.SetView(peer.NewView(late.member.ID, members, peer.Changes{Recent: true}))
+			late.engine.SetView(peer.NewView(late.member.ID, members, peer.Changes{RecentlyChanged: true}))
 			first := c.repeat(late, r)
 			Expect(first).To(HaveLen(1))
 			r.id, r.token = 2, 2
@@ -277,6 +277,6 @@
 		c.settle(true)
 		get.id, get.token = 4, 4
 		Expect(c.call(holders[0], get)).To(Equal(now))
-		Expect(holders[0].engine.Counters.Fenced.Load()).To(BeEquivalentTo(1))
+		Expect(holders[0].engine.Counters.Pauses.Load()).To(BeEquivalentTo(1))
 	})
 })
--- a/internal/connection/caller/home.go
+++ b/internal/connection/caller/home.go
@@ -79,7 +79,7 @@
 	if w.p.IP.Protocol == ip.ProtocolTCP && !w.opensTCP() {
 		return false
 	}
-	beyond := w.view.BeyondCut(w.hash)
+	beyond := w.view.OwnerMayBeUnreachable(w.hash)
 	if beyond && hold(w, r) {
 		return true
 	}
@@ -90,12 +90,12 @@
 			return false
 		}
 		id = u.ID
-		e.Board.Placed(id, w.now.Add(recentFlows))
+		e.Loads.Placed(id, w.now.Add(recentFlows))
 	}
 	e.uncount(r)
 	*r = Record{Upstream: id, State: StateTentative, Placed: unixSeconds(w.now), Told: w.seconds, Flags: RecordLocal}
 	e.holds(r)
-	if beyond || w.view.MayBeLost(w.hash) {
+	if beyond || w.view.RecordMayBeLost(w.hash) {
 		r.Flags = RecordUnsure
 	}
 	e.Counters.Placed.Add(1)
@@ -108,7 +108,7 @@
 func (e *Engine) chooseAlone(w *packetWork, r *Record) {
 	if u := e.choose(w, 0); u != nil {
 		r.Upstream = u.ID
-		e.Board.Placed(u.ID, w.now.Add(recentFlows))
+		e.Loads.Placed(u.ID, w.now.Add(recentFlows))
 	}
 }
 
@@ -140,10 +140,10 @@
 func (e *Engine) choose(w *packetWork, not bundle.UpstreamID) *bundle.UpstreamRoute {
 	candidates := make([]upstream.Candidate, 0, len(w.service.Upstreams))
 	for _, u := range w.service.Upstreams {
-		if u.ID == not || !w.view.Reaches(u.Zone) {
+		if u.ID == not || !w.view.CanReach(u.Zone) {
 			continue
 		}
-		candidates = append(candidates, upstream.Candidate{Route: u, Load: e.Board.Load(u.ID)})
+		candidates = append(candidates, upstream.Candidate{Route: u, Load: e.Loads.Load(u.ID)})
 	}
 	return e.policy.Choose(candidates, uint64(w.hash))
 }
@@ -153,29 +153,29 @@
 // nobody had one.
 func (e *Engine) ask(w *packetWork, r *Record) Cause {
 	h := w.p.Header
-	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Upstream: r.Upstream, Placed: r.Placed, Home: uint64(e.self)}
+	h.Hop = geneve.Hop{Kind: geneve.KindAsk, Upstream: r.Upstream, Placed: r.Placed, Owner: uint64(e.self)}
 	if w.answer {
 		h.Hop.Flags |= geneve.FlagAnswer
 	}
 	if r.Upstream != 0 {
 		h.Hop.Flags |= geneve.FlagPlace
 	}
-	if r.Flags&RecordUnsure != 0 || w.view.MayBeLost(w.hash) || w.view.BeyondCut(w.hash) {
+	if r.Flags&RecordUnsure != 0 || w.view.RecordMayBeLost(w.hash) || w.view.OwnerMayBeUnreachable(w.hash) {
 		h.Hop.Flags |= geneve.FlagUnsure
 	}
 	if e.fenced(r) && r.State == StateFirm {
 		h.Hop.Found = r.Upstream
 	}
-	if w.view.Recent || !h.Hop.Has(geneve.FlagPlace) || e.fenced(r) {
-		w.view.AddHolders(w.hash, &h.Hop)
+	if w.view.RecentlyChanged || !h.Hop.Has(geneve.FlagPlace) || e.fenced(r) {
+		w.view.AddPossibleReplicas(w.hash, &h.Hop)
 	} else {
 		w.view.AddReplicas(w.hash, &h.Hop)
 	}
 	if h.Hop.Has(geneve.FlagUnsure) {
-		w.view.AddAll(w.hash, &h.Hop)
+		w.view.AddAllMembers(w.hash, &h.Hop)
 	}
 	w.p.Header.Hop = h.Hop
-	e.Counters.Asked.Add(1)
+	e.Counters.Queried.Add(1)
 	e.backupLast(w, r)
 	return e.passToHolder(w)
 }
@@ -295,7 +295,7 @@
 		return
 	}
 	r.Flags |= RecordCounted
-	e.Board.Load(r.Upstream).Flows.Add(1)
+	e.Loads.Load(r.Upstream).Flows.Add(1)
 }
 
 // uncount takes a record out of its upstream's load.
@@ -304,5 +304,5 @@
 		return
 	}
 	r.Flags &^= RecordCounted
-	e.Board.Load(r.Upstream).Flows.Add(-1)
+	e.Loads.Load(r.Upstream).Flows.Add(-1)
 }
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -20,12 +20,12 @@
 
 // SweepResult says how far a sweep of a shard got.
 type SweepResult struct {
-	// Told counts the records that others were told and must confirm.
-	Told int
+	// AwaitingConfirmation counts the records that others were told and must confirm.
+	AwaitingConfirmation int
 	// Sent counts all that was told.
 	Sent int
-	// Whole is set if the budget sufficed for all of them.
-	Whole bool
+	// Complete is set if the budget sufficed for all of them.
+	Complete bool
 }
 
 // Sweep works through one shard: it ends idle flows and expired requests, and
@@ -34,11 +34,11 @@
 func (e *Engine) Sweep(now time.Time, shard, budget int, out []Output) ([]Output, SweepResult) {
 	t := e.routing.Load()
 	if t == nil {
-		return out, SweepResult{Whole: true}
+		return out, SweepResult{Complete: true}
 	}
 	s := sweep{e: e, view: e.view.Load(), routing: t, now: e.seconds(now), budget: budget, out: out}
 	e.Flows.Visit(shard, s.visit)
-	result := SweepResult{Told: s.told, Sent: budget - s.budget, Whole: !s.short}
+	result := SweepResult{AwaitingConfirmation: s.told, Sent: budget - s.budget, Complete: !s.short}
 	return e.expire(now, shard, s.out), result
 }
 
@@ -93,7 +93,7 @@
 func (s *sweep) place(k *Key, r *Record) bool {
 	u := s.routing.Upstream(r.Upstream)
 	h := k.Hash()
-	home := s.view.Home(h)
+	home := s.view.Owner(h)
 	if u == nil || home == nil {
 		return true
 	}
@@ -101,7 +101,7 @@
 		s.atHome(k, r, u, h)
 		return true
 	}
-	keeps := s.view.Keeps(h, home.ID)
+	keeps := s.view.IsReplica(h, home.ID)
 	unconfirmed := r.Flags&RecordUnconfirmed != 0 && (s.leaving() || !keeps)
 	if home.Tag() != r.Other || unconfirmed {
 		s.tell(k, r, home.Data, geneve.FlagConfirm)
@@ -109,7 +109,7 @@
 	}
 	// A former holder's record isn't renewed. Kept, it could one day speak for a
 	// flow that was placed again meanwhile.
-	return s.view.Recent || keeps
+	return s.view.RecentlyChanged || keeps
 }
 
 // atHome tells the backup and the other zones what they lack since members
@@ -146,7 +146,7 @@
 func (s *sweep) propose(k *Key, r *Record) {
 	h := k.Hash()
 	self := s.view.Member(s.view.Self)
-	home := s.view.Home(h)
+	home := s.view.Owner(h)
 	for _, m := range []*peer.Member{home, s.view.Replica(h, self.Zone, home.ID)} {
 		if m == nil || m.ID == s.view.Self || s.budget <= 0 {
 			continue
