--- a/internal/version/bundle/bundle.go
+++ b/internal/version/bundle/bundle.go
@@ -1,6 +1,5 @@
-// Package bundle is the versioned configuration that operators prepare, approve
-// and roll: its format, its checks, its signature and the routing table that a
-// daemon derives from it.
+// Package bundle implements the versioned configuration that operators prepare, approve and roll: its
+// format, its checks, its signature, and the routing table that a daemon derives from it.
 package bundle
 
 import (
@@ -12,17 +11,18 @@
 	"github.com/fescueshed/fescueshed/internal/version/hujson"
 )
 
-// Bundle is the content that operators write. It carries no version: that is
-// given when it is approved.
+// Bundle is the content that operators write. It contains no version: a bundle gets one when it is
+// approved.
 type Bundle struct {
 	Services []Service
-	// Routes lead callers' addresses to registered services. Services that list
-	// their own addresses need none.
+	// Routes lead from addresses that callers send to, to registered services. Services with
+	// addresses of their own need none.
 	Routes []Route
 	// Operators are those who may prepare and approve the next bundle.
 	Operators []Operator
-	// Evacuated are zones whose upstreams get no new flow. Those of registered upstreams are evacuated at
-	// the platform's store instead, whose word needs no new version.
+	// Evacuated are zones whose upstreams get no new flow. This only concerns upstreams that the
+	// bundle lists. For registered upstreams, a zone is evacuated in the platform's store, which needs
+	// no new bundle version.
 	Evacuated []Zone
 }
 
@@ -33,55 +33,55 @@
 	Key []byte
 }
 
-// Service is a set of addresses and the upstreams that answer for them.
+// Service is a set of addresses and the upstreams that serve them.
 type Service struct {
 	Name     string
 	Team     string
 	VNI      VNI
 	Protocol Protocol
-	// Addresses are where callers send to, each an IP address and port.
+	// Addresses are those that callers send to, each an IP address and port.
 	Addresses []netip.AddrPort
 	Upstreams []Upstream
-	// IdleTimeout ends a flow that carried no packet for so long.
+	// IdleTimeout is after how long without a packet a flow ends.
 	IdleTimeout Duration
 	// Deadline bounds one request from its first packet to its answer.
 	Deadline Duration
-	// Registered says that the upstreams register themselves with the platform. The
-	// bundle then gives neither a VNI nor addresses nor upstreams: Routes lead to it.
+	// Registered says that the upstreams register themselves with the platform. The bundle then gives
+	// neither a VNI nor addresses nor upstreams of the service; Routes lead to it.
 	Registered bool
-	// HealthPath is what an upstream's health is asked at, over HTTP. Only
-	// registered services have one.
+	// HealthPath is the HTTP path at which an upstream's health is probed. Only registered services
+	// have one.
 	HealthPath string
 	// Connections is how many flows each registered upstream holds at most.
 	Connections int
-	// WarmupRate is how many new flows a second each registered upstream bears from all balancers together while
-	// it is slow after its start. Zero leaves that to the load alone.
+	// WarmupRate is how many new flows per second each registered upstream can take from all balancers together
+	// while it is slow after its start. If it is zero, only the upstream's load limits them.
 	WarmupRate float64 `json:",omitempty"`
 }
 
 // Upstream is one back end of a service.
 type Upstream struct {
 	Name string
-	// Address is where its host takes Geneve packets (UDP). The IP address
-	// identifies the upstream, so no two share one.
+	// Address is where the upstream's host receives Geneve packets (UDP). The IP address identifies the
+	// upstream, so no two share one.
 	Address netip.AddrPort
 	Zone    Zone
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the upstream works on concurrently.
 	Slots int
-	// Connections is how many flows it holds at most.
+	// Connections is how many flows the upstream holds at most.
 	Connections int
-	// Drain keeps new flows away; open flows go on.
+	// Drain says that the upstream gets no new flow; its open flows go on.
 	Drain bool
 }
 
-// Defaults for what a service leaves out.
+// Default values of fields that a service leaves out.
 const (
 	DefaultIdleTimeout = Duration(10 * time.Minute)
 	DefaultDeadline    = Duration(10 * time.Second)
 )
 
-// Decode reads a bundle as JSON with comments and checks it. All problems are
-// returned together as a *hujson.FindingsError.
+// Decode reads a bundle in JSON with comments and checks it. It returns all problems together as a
+// *hujson.FindingsError.
 func Decode(file string, src []byte) (*Bundle, error) {
 	b, f := hujson.Decode(file, src, Bundle{})
 	for i := range b.Services {
@@ -106,7 +106,7 @@
 	}
 }
 
-// checker keeps what must be unique across a whole bundle.
+// checker holds the values that must be unique in a whole bundle, each with the path where it occurred first.
 type checker struct {
 	findings  *hujson.Findings
 	names     map[string]string
@@ -114,11 +114,11 @@
 	addresses map[netip.AddrPort]string
 	upstreams map[netip.Addr]string
 	ids       map[UpstreamID]string
-	// routable are the services that a route may lead to.
+	// routable holds the services that a route may lead to.
 	routable map[string]bool
 }
 
-// newFindings collects the problems of a bundle that has no file.
+// newFindings returns a collector for the problems of a bundle that wasn't read from a file.
 func newFindings() *hujson.Findings { return &hujson.Findings{File: "bundle"} }
 
 func (b *Bundle) check(f *hujson.Findings) {
@@ -206,7 +206,7 @@
 	unique(c, c.ids, UpstreamIDOf(s.Name, u.Name), path+".Name", "upstream name")
 }
 
-// evacuated checks that each zone has an upstream: one that is mistyped would be taken for empty.
+// evacuated checks that each evacuated zone has an upstream. A mistyped zone would otherwise seem to be evacuated.
 func (c *checker) evacuated(b *Bundle) {
 	seen := make(map[Zone]string)
 	for i, z := range b.Evacuated {
@@ -235,7 +235,7 @@
 
 func unique[K comparable](c *checker, seen map[K]string, k K, path, what string) {
 	if first, ok := seen[k]; ok {
-		c.findings.Add(path, "the same %s stands at %s", what, first)
+		c.findings.Add(path, "the same %s is already used at %s", what, first)
 		return
 	}
 	seen[k] = path
--- a/internal/version/bundle/bundle_test.go
+++ b/internal/version/bundle/bundle_test.go
@@ -26,7 +26,7 @@
 }`
 
 var _ = Describe("Decode", func() {
-	It("fills what is left out", func() {
+	It("sets defaults for fields that are left out", func() {
 		b, err := bundle.Decode("f", []byte(good))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Services[0].Protocol).To(Equal(bundle.ProtocolCoAP))
@@ -34,16 +34,16 @@
 	})
 
 	for name, tc := range map[string]struct{ old, new, want string }{
-		"unknown key":       {`"Team"`, `"Taem"`, `f:5: Services[0].Taem: unknown key`},
-		"VNI too large":     {`101`, `16777216`, `f:5: Services[0].VNI: is 16777216`},
-		"bad address":       {`198.51.100.1:5683`, `nowhere`, `f:6: Services[0].Addresses[0]`},
-		"no port":           {`203.0.113.1:6081`, `203.0.113.1:0`, `f:8: Services[0].Upstreams[0].Address`},
-		"shared address":    {`203.0.113.2`, `203.0.113.1`, `f:9: Services[0].Upstreams[1].Address: the same upstream address`},
-		"name twice":        {`"u2"`, `"u1"`, `f:9: Services[0].Upstreams[1].Name: the same upstream name`},
-		"no slots":          {`"Slots": 2`, `"Slots": 0`, `f:8: Services[0].Upstreams[0].Slots: is 0`},
-		"key twice":         {`"VNI": 101`, `"VNI": 101, "VNI": 102`, `stands twice`},
-		"number for a word": {`"orders"`, `7`, `f:5: Services[0].Name`},
-		"no bundle":         {`{`, `[`, `f:1: `},
+		"unknown key":     {`"Team"`, `"Taem"`, `f:5: Services[0].Taem: unknown key`},
+		"VNI too large":   {`101`, `16777216`, `f:5: Services[0].VNI: is 16777216`},
+		"bad address":     {`198.51.100.1:5683`, `nowhere`, `f:6: Services[0].Addresses[0]`},
+		"no port":         {`203.0.113.1:6081`, `203.0.113.1:0`, `f:8: Services[0].Upstreams[0].Address`},
+		"shared address":  {`203.0.113.2`, `203.0.113.1`, `f:9: Services[0].Upstreams[1].Address: the same upstream address`},
+		"name twice":      {`"u2"`, `"u1"`, `f:9: Services[0].Upstreams[1].Name: the same upstream name`},
+		"no slots":        {`"Slots": 2`, `"Slots": 0`, `f:8: Services[0].Upstreams[0].Slots: is 0`},
+		"key twice":       {`"VNI": 101`, `"VNI": 101, "VNI": 102`, `duplicate key`},
+		"number for text": {`"orders"`, `7`, `f:5: Services[0].Name`},
+		"no bundle":       {`{`, `[`, `f:1: `},
 		"unknown zone": {
 			`  "Services"`, `  "Evacuated": ["a", "q"], "Services"`, `f:3: Evacuated[1]: "q" is the zone of no upstream`,
 		},
@@ -63,17 +63,17 @@
 	})
 })
 
-// An operator mistypes a region. If the bundle came into force, every caller of that route would be refused.
+// An operator mistypes a region. If the bundle came into force, the route would refuse every caller.
 var _ = Describe("A bundle's regions", func() {
 	b := &bundle.Bundle{Routes: []bundle.Route{{Regions: []bundle.Region{"north"}}, {Regions: []bundle.Region{"north", "suoth"}}}}
 
-	It("are reported with their place if they are unknown", func() {
+	It("are reported with their path if they are unknown", func() {
 		err := b.CheckRegions([]bundle.Region{"north", "south"})
 		Expect(err).To(MatchError(ContainSubstring(`Routes[1].Regions[1]: "suoth" is unknown; known regions: [north south]`)))
 		Expect(b.CheckRegions([]bundle.Region{"north", "suoth"})).To(Succeed())
 	})
 
-	It("make routes differ", func() {
+	It("are part of the digest", func() {
 		changed := *b
 		changed.Routes = append([]bundle.Route{{}}, b.Routes[1:]...)
 		Expect(changed.Digest()).NotTo(Equal(b.Digest()))
@@ -91,7 +91,7 @@
 		return s
 	}
 
-	It("verifies as it was signed, through its encoding", func() {
+	It("verifies after it was encoded and decoded", func() {
 		s, err := bundle.DecodeSigned(sign().Encode())
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Verify(trusted)
@@ -127,9 +127,9 @@
 		return b
 	}
 
-	// A desk's feed ends when its upstream is taken out of the bundle. The next
-	// version no longer names it; open flows must go on, without new ones.
-	It("keeps an upstream that the next version no longer names, as draining", func() {
+	// A bundle leaves out an upstream with open flows. The flows must go on, and the upstream must get
+	// no new one.
+	It("keeps an upstream that the next version no longer lists, as draining", func() {
 		first := bundle.NewRouting(1, decode(good), nil)
 		line := `{"Name": "u2", "Address": "203.0.113.2:6081", "Zone": "b", "Slots": 2, "Connections": 10}`
 		shorter := strings.Replace(good, ",\n        "+line, "", 1)
@@ -140,10 +140,8 @@
 		Expect(u.Drain).To(BeTrue())
 	})
 
-	// Reminder traffic reaches the statement service. An upstream's address is
-	// given to another service while a daemon still remembers the old meaning.
 	// A zone is to be switched off. Its upstreams keep their open flows and get no new one, until the
-	// next version takes it back.
+	// next version ends the evacuation.
 	It("drains the upstreams of an evacuated zone, and no others", func() {
 		b, err := bundle.Decode("f", []byte(strings.Replace(good, `"Services"`, `"Evacuated": ["b"], "Services"`, 1)))
 		Expect(err).NotTo(HaveOccurred())
@@ -160,7 +158,9 @@
 		Expect(at(bundle.NewRouting(2, b, evacuated))).To(Equal(map[bundle.Zone]bool{"a": false, "b": false}))
 	})
 
-	It("forgets the old meaning of an address that is given to another service", func() {
+	// An upstream's address is given to another service. A daemon that keeps the former upstream would
+	// forward one service's packets to the other.
+	It("drops the former upstream of an address that is given to another service", func() {
 		first := bundle.NewRouting(1, decode(good), nil)
 		other := strings.NewReplacer(`"orders"`, `"archive"`, `101`, `102`).Replace(good)
 		second := bundle.NewRouting(2, decode(other), first)
--- a/internal/version/bundle/history.go
+++ b/internal/version/bundle/history.go
@@ -1,39 +1,39 @@
 package bundle
 
-// History keeps the bundle in force and the updates that led to it, so that others can be told only
-// what they lack. It isn't safe for concurrent use; the zero value knows no bundle.
+// History keeps the bundle in force and the updates that led to it, so that a member can be sent only
+// what it lacks. It isn't safe for concurrent use. The zero value has no bundle.
 type History struct {
-	now Accepted
-	// steps lead one to the next, the last to now.
+	current Accepted
+	// steps are consecutive updates, the last of which leads to current.
 	steps []*Update
-	// whole is the update that holds all of now, nil until it is asked for.
-	whole *Update
+	// full is the update that holds the whole current bundle, nil until it is requested.
+	full *Update
 }
 
-// maxSteps is how many versions are remembered. A member that missed more was away for longer than
-// a storm of changes takes, and is told the whole bundle.
+// maxSteps bounds the steps that are kept. A member that lacks more versions was away for longer than a
+// burst of changes takes, and is sent the whole bundle.
 const maxSteps = 8
 
 // Current returns the bundle in force, the zero value if there is none.
-func (h *History) Current() Accepted { return h.now }
+func (h *History) Current() Accepted { return h.current }
 
-// Add puts a later bundle in force. step leads there from the one before. One that doesn't, or nil,
-// is where the history begins: a member that was told by the steps before it would lack what lies
-// between.
+// Add puts a later bundle in force. step is the update from the one before. If step is nil or starts from
+// another version, the steps so far are dropped, since a member that was sent them would lack the changes
+// in between.
 func (h *History) Add(a Accepted, step *Update) {
-	if step != nil && step.From == h.now.Version {
+	if step != nil && step.From == h.current.Version {
 		h.steps = append(h.steps, step)
 	} else {
 		h.steps = nil
 	}
-	h.now, h.whole = a, nil
-	h.forget()
+	h.current, h.full = a, nil
+	h.trim()
 }
 
-// forget drops the oldest steps beyond what is worth keeping: all together they hold no more than
-// the bundle itself.
-func (h *History) forget() {
-	whole := len(h.now.Bundle.Routes) + len(h.now.Bundle.Services)
+// trim drops the oldest steps, so that the rest are at most maxSteps and have together no more services and
+// routes than the bundle itself.
+func (h *History) trim() {
+	whole := len(h.current.Bundle.Routes) + len(h.current.Bundle.Services)
 	kept, size := 0, 0
 	for i := len(h.steps) - 1; i >= 0 && kept < maxSteps; i-- {
 		if size += h.steps[i].Size(); size > whole {
@@ -44,7 +44,7 @@
 	h.steps = h.steps[len(h.steps)-kept:]
 }
 
-// Since returns what leads on from a version: the whole bundle if that isn't remembered.
+// Since returns an update from version v to the current one. It is the whole bundle if no step starts from v.
 func (h *History) Since(v Version) *Update {
 	for i, s := range h.steps {
 		if s.From != v {
@@ -56,8 +56,8 @@
 		}
 		return out
 	}
-	if h.whole == nil {
-		h.whole = FullUpdate(h.now)
+	if h.full == nil {
+		h.full = FullUpdate(h.current)
 	}
-	return h.whole
+	return h.full
 }
--- a/internal/version/bundle/inforce_test.go
+++ b/internal/version/bundle/inforce_test.go
@@ -9,8 +9,8 @@
 )
 
 var _ = Describe("InForce", func() {
-	// A bundle that was delayed on its way arrives after a newer one, and routes that
-	// the newer one dropped come back.
+	// A delayed bundle arrives after a newer one. If it came into force, it would bring back routes that the
+	// newer one dropped.
 	It("never goes back to an older version", func() {
 		var f bundle.InForce
 		applied := []bundle.Version{}
--- a/internal/version/bundle/route.go
+++ b/internal/version/bundle/route.go
@@ -6,23 +6,21 @@
 	"slices"
 )
 
-// Route leads new flows to one of several registered services. Open flows stay
-// where they are when a later bundle changes the weights; a bundle that drops the
-// route ends them.
+// Route leads new flows to one of several registered services. Open flows stay at their upstreams when a
+// later bundle changes the weights. A bundle without the route ends them.
 type Route struct {
 	Name string
-	// Address is where callers send to.
+	// Address is the one that callers send to.
 	Address netip.AddrPort
 	Targets []Target
-	// Idempotent says that callers may repeat the requests that flows carry.
+	// Idempotent says that callers may repeat the requests that the flows carry.
 	Idempotent bool
-	// Deadline bounds one request, Objective is the time in which it should be
-	// answered.
+	// Deadline bounds one request. Objective is the time within which it should be answered.
 	Deadline  Duration
 	Objective Duration
-	// Priority orders routes when not all can be served; 0 is the highest.
+	// Priority orders routes if not all can be served; 0 is the highest.
 	Priority int
-	// Regions are those whose upstreams may get its flows, all if there are none.
+	// Regions are those whose upstreams may get the route's flows, all regions if empty.
 	Regions []Region
 }
 
@@ -36,8 +34,8 @@
 // MaxWeight bounds one target's weight, so that sums can't overflow.
 const MaxWeight = 1 << 20
 
-// Check fills in what a bundle leaves out and reports all problems together as a
-// *hujson.FindingsError. It is for bundles that weren't read by Decode.
+// Check fills in defaults and returns all problems of the bundle together as a *hujson.FindingsError. It is
+// for bundles that weren't read by Decode.
 func (b *Bundle) Check() error {
 	f := newFindings()
 	for i := range b.Services {
@@ -47,7 +45,7 @@
 	return f.Err()
 }
 
-// registered checks what only a service with registered upstreams has.
+// registered checks the fields that are special to a service with registered upstreams.
 func (c *checker) registered(path string, s *Service) {
 	if s.VNI != 0 || len(s.Addresses) != 0 || len(s.Upstreams) != 0 {
 		c.findings.Add(path, "a registered service has no VNI, addresses or upstreams of its own")
@@ -67,15 +65,15 @@
 	}
 }
 
-// route checks one route. Paths are only made for findings: a bundle may have
-// thousands of routes, and each is checked again with each version.
+// route checks one route. It builds field paths only for findings: a bundle may have thousands of routes, and
+// all are checked with each version.
 func (c *checker) route(i int, r *Route) {
 	at := func(field string) string { return fmt.Sprintf("Routes[%d].%s", i, field) }
 	if !r.Address.IsValid() || r.Address.Port() == 0 {
 		c.findings.Add(at("Address"), "is %q, want an IP address and a port", r.Address)
 	}
 	if first, ok := c.addresses[r.Address]; ok {
-		c.findings.Add(at("Address"), "the same address stands at %s", first)
+		c.findings.Add(at("Address"), "the same address is already used at %s", first)
 	} else {
 		c.addresses[r.Address] = "another route"
 	}
@@ -84,7 +82,7 @@
 	}
 	for _, t := range r.Targets {
 		if !c.routable[t.Service] {
-			c.findings.Add(at("Targets"), "%q is no registered service", t.Service)
+			c.findings.Add(at("Targets"), "%q isn't a registered service", t.Service)
 		}
 		if t.Weight < 0 || t.Weight > MaxWeight {
 			c.findings.Add(at("Targets"), "weight %d, want 0 to %d", t.Weight, MaxWeight)
@@ -92,8 +90,8 @@
 	}
 }
 
-// CheckRegions reports as a *hujson.FindingsError each route that names a region which isn't among those known: a
-// mistyped one would be refused to every caller.
+// CheckRegions returns a *hujson.FindingsError with each route that names a region other than the known ones. With
+// a mistyped region, the route would refuse every caller.
 func (b *Bundle) CheckRegions(known []Region) error {
 	f := newFindings()
 	for i := range b.Routes {
@@ -106,7 +104,7 @@
 	return f.Err()
 }
 
-// Accepted is a bundle that the platform has accepted, which counts as signed off.
+// Accepted is a bundle that the platform has accepted, which counts as its approval.
 type Accepted struct {
 	Version Version
 	Bundle  *Bundle
--- a/internal/version/bundle/routing.go
+++ b/internal/version/bundle/routing.go
@@ -7,35 +7,33 @@
 	"time"
 )
 
-// Routing is the lookup table that a daemon derives from a bundle. It doesn't
-// change once made and is safe for concurrent use.
+// Routing is the lookup table that a daemon derives from a bundle. It is immutable and safe for concurrent use.
 type Routing struct {
 	Version   Version
 	services  map[VNI]*ServiceRoute
 	upstreams map[UpstreamID]*UpstreamRoute
 	byAddress map[netip.Addr]*UpstreamRoute
 	ids       []UpstreamID
-	// named and routes are those of registered services.
-	named  map[string]*ServiceRoute
-	routes map[netip.AddrPort]*CallerRoute
+	// registered holds the services with registered upstreams by name, routes the routes that lead to them.
+	registered map[string]*ServiceRoute
+	routes     map[netip.AddrPort]*CallerRoute
 }
 
-// CallerRoute is one Route of a Routing.
+// CallerRoute is a Route as part of a Routing.
 type CallerRoute struct {
 	Name       string
 	Idempotent bool
-	// Objective is the time within which its requests are to be answered, zero if none
-	// is set.
+	// Objective is the time within which the route's requests should be answered, zero if none is set.
 	Objective time.Duration
 	Targets   []RouteTarget
 	// Weight is the sum of the targets' weights.
 	Weight uint64
-	// Regions are those whose upstreams may get its flows, all if there are none.
+	// Regions are those whose upstreams may get the route's flows, all regions if empty.
 	Regions []Region
 }
 
-// Allows reports whether upstreams of a region may get the route's flows. Those whose region isn't known
-// may only if every region's may.
+// Allows reports whether upstreams of a region may get the route's flows. An unknown region is only allowed if
+// every region is.
 func (r *CallerRoute) Allows(region Region) bool {
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
@@ -46,8 +44,8 @@
 	Weight  uint64
 }
 
-// Pick returns the service for a new flow. Equal seeds give the same service. A
-// route whose weights are all zero leads to its first target.
+// Pick returns the service for a new flow. The same seed gives the same service. If all weights are zero, it
+// returns the first target.
 func (r *CallerRoute) Pick(seed uint64) *ServiceRoute {
 	if r.Weight > 0 {
 		x := seed % r.Weight
@@ -61,7 +59,7 @@
 	return r.Targets[0].Service
 }
 
-// ServiceRoute is one service of a Routing.
+// ServiceRoute is a Service as part of a Routing.
 type ServiceRoute struct {
 	Name        string
 	VNI         VNI
@@ -76,7 +74,7 @@
 	WarmupRate  float64
 }
 
-// UpstreamRoute is one upstream of a Routing.
+// UpstreamRoute is an upstream as part of a Routing.
 type UpstreamRoute struct {
 	ID          UpstreamID
 	Name        string
@@ -85,23 +83,23 @@
 	Zone        Zone
 	Slots       int
 	Connections int
-	// Drain is set for an upstream that must get no new flow, because the bundle says so of it or of its
-	// zone, or because this version no longer names it.
+	// Drain says that the upstream must get no new flow, because the bundle drains it or evacuates its zone, or
+	// because the present version no longer lists it.
 	Drain bool
-	// Created orders registered upstreams by when they registered.
+	// Created orders registered upstreams by their time of registration.
 	Created uint64
 }
 
-// NewRouting builds the table of b. Upstreams that prev knew and b no longer
-// names are kept as draining, so that their open flows go on.
+// NewRouting builds the table of bundle b. Upstreams of prev that b no longer lists are kept as draining, so
+// that their open flows go on.
 func NewRouting(v Version, b *Bundle, prev *Routing) *Routing {
 	t := &Routing{
-		Version:   v,
-		named:     make(map[string]*ServiceRoute),
-		routes:    make(map[netip.AddrPort]*CallerRoute, len(b.Routes)),
-		services:  make(map[VNI]*ServiceRoute, len(b.Services)),
-		upstreams: make(map[UpstreamID]*UpstreamRoute),
-		byAddress: make(map[netip.Addr]*UpstreamRoute),
+		Version:    v,
+		registered: make(map[string]*ServiceRoute),
+		routes:     make(map[netip.AddrPort]*CallerRoute, len(b.Routes)),
+		services:   make(map[VNI]*ServiceRoute, len(b.Services)),
+		upstreams:  make(map[UpstreamID]*UpstreamRoute),
+		byAddress:  make(map[netip.Addr]*UpstreamRoute),
 	}
 	for i := range b.Services {
 		t.addService(&b.Services[i], b.Evacuated)
@@ -129,7 +127,7 @@
 		WarmupRate:  s.WarmupRate,
 	}
 	if s.Registered {
-		t.named[s.Name] = r
+		t.registered[s.Name] = r
 		return
 	}
 	for _, a := range s.Addresses {
@@ -158,7 +156,7 @@
 	}
 	for _, target := range r.Targets {
 		w := uint64(target.Weight)
-		c.Targets = append(c.Targets, RouteTarget{Service: t.named[target.Service], Weight: w})
+		c.Targets = append(c.Targets, RouteTarget{Service: t.registered[target.Service], Weight: w})
 		c.Weight += w
 	}
 	t.routes[r.Address] = c
@@ -170,9 +168,9 @@
 	t.byAddress[u.Address.Addr()] = u
 }
 
-// keepRemoved carries over upstreams whose service still exists under the same
-// VNI and name. An address that the new version gave to another upstream stays
-// with the new one: its old meaning must not carry packets between services.
+// keepRemoved keeps upstreams that the new version no longer lists, if their service still exists with the same
+// VNI and name. An address that the new version gives to another upstream belongs to that one: packets must not
+// be forwarded between services because of its former meaning.
 func (t *Routing) keepRemoved(prev *Routing) {
 	for id, old := range prev.upstreams {
 		if _, ok := t.upstreams[id]; ok {
@@ -192,13 +190,13 @@
 	}
 }
 
-// UpstreamIDs returns the upstreams that the bundle names, in an order that all
-// daemons with the same version share. The caller must not change it.
+// UpstreamIDs returns the upstreams that the bundle lists, in an order that all daemons with the same version
+// share. The caller must not modify the result.
 func (t *Routing) UpstreamIDs() []UpstreamID {
 	return t.ids
 }
 
-// Service returns the service of a VNI, or nil.
+// Service returns the service with a VNI, or nil.
 func (t *Routing) Service(v VNI) *ServiceRoute {
 	return t.services[v]
 }
@@ -208,18 +206,18 @@
 	return t.routes[a]
 }
 
-// Registered returns the registered service of a name, or nil.
+// Registered returns the service with registered upstreams of a name, or nil.
 func (t *Routing) Registered(name string) *ServiceRoute {
-	return t.named[name]
+	return t.registered[name]
 }
 
-// Upstream returns the upstream of an identifier, or nil.
+// Upstream returns the upstream with an identifier, or nil.
 func (t *Routing) Upstream(id UpstreamID) *UpstreamRoute {
 	return t.upstreams[id]
 }
 
-// UpstreamAt returns the upstream whose host sends Geneve packets from a, or
-// nil. The source port tells nothing: it spreads flows (RFC 8926, section 3.3).
+// UpstreamAt returns the upstream whose host sends Geneve packets from address a, or nil. The source port
+// doesn't identify the upstream, since it spreads flows (RFC 8926, section 3.3).
 func (t *Routing) UpstreamAt(a netip.Addr) *UpstreamRoute {
 	return t.byAddress[a]
 }
--- a/internal/version/bundle/signed.go
+++ b/internal/version/bundle/signed.go
@@ -12,41 +12,40 @@
 
 const publicKeyBytes = ed25519.PublicKeySize
 
-// signatureDomain keeps a signature of a bundle from being taken for anything else.
+// signatureDomain separates signatures of bundles from those of anything else.
 const signatureDomain = "fescueshed bundle 1\n"
 
 // The reasons for which a signed bundle is refused.
 var (
-	ErrSignature         = eris.New("bundle: the signature doesn't hold")
-	ErrUntrustedApprover = eris.New("bundle: signed by an operator who isn't trusted")
+	ErrSignature         = eris.New("bundle: signature is invalid")
+	ErrUntrustedApprover = eris.New("bundle: approver isn't a trusted operator")
 	ErrSelfApproved      = eris.New("bundle: preparer and approver must differ")
-	ErrNoVersion         = eris.New("bundle: the version must be at least 1")
-	ErrNoContents        = eris.New("bundle: the content is missing")
+	ErrNoVersion         = eris.New("bundle: version is zero, want at least 1")
+	ErrNoContents        = eris.New("bundle: content is missing")
 )
 
-// Signed is a bundle that was approved. It is what the platform keeps and what
-// daemons pass to each other.
+// Signed is a bundle that was approved, in the form that the platform stores and daemons send each other.
 type Signed struct {
 	Version    Version
 	PreparedBy string
 	ApprovedBy string
-	// OperationID lets an operator find a write again whose answer was lost.
+	// OperationID identifies an operator's write, so that they can find it again if its answer was lost.
 	OperationID string
-	// Earlier are the operation ids of the bundles that were in force before, the latest last,
-	// maxEarlier at most. An operator whose write was answered late finds it here though another
-	// bundle was rolled since; without them they are told that theirs never was in force. They
-	// aren't signed: daemons don't use them.
+	// Earlier are the operation ids of the bundles that were in force before, the latest last, maxEarlier at
+	// most. An operator whose write was answered late finds its id here even if another bundle has been rolled
+	// since. Without these ids, they would be told that their bundle was never in force. The ids aren't signed,
+	// since daemons don't use them.
 	Earlier []string `json:",omitempty"`
-	// Content is the bundle as the preparer wrote it, JSON with comments.
+	// Content is the bundle as its preparer wrote it, in JSON with comments.
 	Content []byte
 	// Signature is the approver's ed25519 signature (RFC 8032).
 	Signature []byte
 }
 
-// maxEarlier is more bundles than a team rolls in the minute for which a roll is tried.
+// maxEarlier exceeds the number of bundles that a team rolls in the minute for which an operator retries a roll.
 const maxEarlier = 64
 
-// Successor returns an unsigned bundle that follows s, or the first one if s is nil.
+// Successor returns an unsigned bundle with the version after s, or version 1 if s is nil.
 func (s *Signed) Successor(by, operationID string, content []byte) *Signed {
 	next := &Signed{Version: 1, PreparedBy: by, OperationID: operationID, Content: content}
 	if s == nil {
@@ -58,12 +57,12 @@
 	return next
 }
 
-// WasInForce reports whether the bundle of an operation was in force, now or before.
+// WasInForce reports whether the bundle of an operation is in force or was so before, as far as Earlier goes back.
 func (s *Signed) WasInForce(operationID string) bool {
 	return s.OperationID == operationID || slices.Contains(s.Earlier, operationID)
 }
 
-// Sign approves content as version v with the approver's private key.
+// Sign returns s with the approver's signature, made with the private key. The version and content of s must be set.
 func Sign(s Signed, key ed25519.PrivateKey) (*Signed, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -72,7 +71,7 @@
 	return &s, nil
 }
 
-// Verify checks the signature against the trusted operators and decodes the content.
+// Verify checks that a trusted operator signed the bundle, and returns the decoded content.
 func (s *Signed) Verify(trusted []Operator) (*Bundle, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -101,8 +100,8 @@
 	return nil
 }
 
-// message is what is signed: each part with its length before it, so that no
-// two different bundles give the same bytes.
+// message returns the bytes that are signed. Each text is preceded by its length, so that no two different
+// bundles give the same bytes.
 func (s *Signed) message() []byte {
 	sum := sha256.Sum256(s.Content)
 	m := []byte(signatureDomain)
@@ -114,16 +113,16 @@
 	return append(m, sum[:]...)
 }
 
-// DecodeSigned reads what Encode wrote.
+// DecodeSigned decodes what Encode returns, and checks its version, content and signers, but not the signature.
 func DecodeSigned(src []byte) (*Signed, error) {
 	var s Signed
 	if err := json.Unmarshal(src, &s); err != nil {
-		return nil, eris.Wrap(err, "signed bundle")
+		return nil, eris.Wrap(err, "decode signed bundle")
 	}
 	return &s, s.check()
 }
 
-// Encode writes the signed bundle as JSON.
+// Encode returns the signed bundle as JSON.
 func (s *Signed) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
--- a/internal/version/bundle/units.go
+++ b/internal/version/bundle/units.go
@@ -19,28 +19,27 @@
 // Zone names an availability zone.
 type Zone string
 
-// Region names a region, which holds availability zones.
+// Region names a region, which consists of availability zones.
 type Region string
 
-// Version orders bundles. It grows with each roll and never shrinks.
+// Version orders bundles. It grows with each roll and never decreases.
 type Version uint64
 
 // UpstreamID identifies an upstream across daemons and versions. Zero is none.
 type UpstreamID uint64
 
-// String writes the identifier in hexadecimal digits, as upstreams register it.
+// String returns the identifier in hexadecimal digits, as upstreams register it.
 func (id UpstreamID) String() string { return strconv.FormatUint(uint64(id), 16) }
 
-// UpstreamIDOf derives the identifier of an upstream from its service and name.
+// UpstreamIDOf derives the identifier of an upstream from the names of its service and itself.
 func UpstreamIDOf(service, name string) UpstreamID {
 	return UpstreamID(xxhash.Sum64String(service + "/" + name))
 }
 
-// Duration is a time span that is written as Go writes it, such as "1.5s".
+// Duration is a time span that is encoded as a Go duration string, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalJSON reads "250ms" and the like; a bare number is refused because
-// its unit would be a guess.
+// UnmarshalJSON decodes a duration string such as "250ms". It refuses a bare number, since its unit is unknown.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -54,12 +53,12 @@
 	return nil
 }
 
-// MarshalJSON writes the duration with its unit.
+// MarshalJSON encodes the duration with its unit.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// Protocol names what flows of a service carry.
+// Protocol names what the flows of a service carry.
 type Protocol string
 
 // The protocols a service can have.
--- a/internal/version/bundle/update.go
+++ b/internal/version/bundle/update.go
@@ -11,27 +11,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// Update leads from one version of a bundle to a later one. It holds what differs, so it grows with the change and not
-// with the bundle.
+// Update leads from one version of a bundle to a later one. It holds the differences only, so its size depends on the
+// change and not on the bundle.
 type Update struct {
-	// From is the version that it leads on from, zero if it holds a whole bundle.
+	// From is the version that the update starts from, zero if it holds a whole bundle.
 	From, To Version
-	// Digest is that of the bundle that it leads to.
+	// Digest is the digest of the resulting bundle.
 	Digest uint64
-	// Services and Routes are those that are new or changed, Operators all, if they changed.
+	// Services and Routes are those that were added or changed. Operators are all of them, or nil if they didn't change.
 	Services  []Service
 	Routes    []Route
 	Operators []Operator
-	// GoneServices and GoneRoutes are those that are no longer there.
+	// GoneServices and GoneRoutes are the names and addresses of those that were removed.
 	GoneServices []string
 	GoneRoutes   []netip.AddrPort
 }
 
-// ErrUpdateMismatch is returned for an update that doesn't lead on from the bundle at hand, or not to the
-// bundle that its maker has.
-var ErrUpdateMismatch = eris.New("bundle: the update doesn't lead on from this bundle")
+// ErrUpdateMismatch is returned for an update that doesn't start from the present bundle, or whose result differs from
+// its maker's bundle.
+var ErrUpdateMismatch = eris.New("bundle: update doesn't match this bundle")
 
-// FullUpdate returns the update that holds all of a bundle.
+// FullUpdate returns the update that holds a whole bundle.
 func FullUpdate(a Accepted) *Update {
 	return &Update{
 		To: a.Version, Digest: a.Bundle.Digest(),
@@ -50,13 +50,13 @@
 	return u
 }
 
-// Apply returns the bundle that the update leads to. It shares what didn't change with the one at
-// hand, which stays as it is.
+// Apply returns the bundle that results from the update. The result shares its unchanged parts with the present bundle,
+// which isn't modified.
 func (u *Update) Apply(at Accepted) (Accepted, error) {
 	b := &Bundle{Services: u.Services, Routes: u.Routes, Operators: u.Operators}
 	if u.From != 0 {
 		if u.From != at.Version {
-			return Accepted{}, eris.Wrapf(ErrUpdateMismatch, "from version %d, not %d", u.From, at.Version)
+			return Accepted{}, eris.Wrapf(ErrUpdateMismatch, "starts from version %d, not %d", u.From, at.Version)
 		}
 		b.Services = patch(at.Bundle.Services, u.Services, u.GoneServices, (*Service).key)
 		b.Routes = patch(at.Bundle.Routes, u.Routes, u.GoneRoutes, (*Route).key)
@@ -65,12 +65,12 @@
 		}
 	}
 	if b.Digest() != u.Digest {
-		return Accepted{}, eris.Wrapf(ErrUpdateMismatch, "not to the version %d that was told", u.To)
+		return Accepted{}, eris.Wrapf(ErrUpdateMismatch, "result differs from the sender's version %d", u.To)
 	}
 	return Accepted{Version: u.To, Bundle: b}, b.Check()
 }
 
-// Then returns the update that does what u does and then next.
+// Then returns the update that has the effect of u followed by next.
 func (u *Update) Then(next *Update) *Update {
 	out := &Update{From: u.From, To: next.To, Digest: next.Digest, Operators: next.Operators}
 	out.Services, out.GoneServices = join(u.Services, u.GoneServices, next.Services, next.GoneServices, (*Service).key)
@@ -81,13 +81,13 @@
 	return out
 }
 
-// Size is how many services and routes the update holds or takes away.
+// Size returns how many services and routes the update adds, changes or removes.
 func (u *Update) Size() int {
 	return len(u.Services) + len(u.Routes) + len(u.GoneServices) + len(u.GoneRoutes)
 }
 
-// diff returns the items that are new or changed, and the keys of those that are gone.
-func diff[T any, K comparable](from, to []T, key func(*T) K, equal func(a, b *T) bool) (changed []T, gone []K) {
+// diff returns the items that were added or changed, and the keys of those that were removed.
+func diff[T any, K comparable](from, to []T, key func(*T) K, equal func(a, b *T) bool) (changed []T, removed []K) {
 	before := make(map[K]*T, len(from))
 	for i := range from {
 		before[key(&from[i])] = &from[i]
@@ -101,19 +101,19 @@
 	}
 	for i := range from {
 		if k := key(&from[i]); before[k] != nil {
-			gone = append(gone, k)
+			removed = append(removed, k)
 		}
 	}
-	return changed, gone
+	return changed, removed
 }
 
-// patch returns items with some replaced or added and some taken away.
-func patch[T any, K comparable](items, changed []T, gone []K, key func(*T) K) []T {
-	if len(changed) == 0 && len(gone) == 0 {
+// patch returns the items that were neither removed nor changed, followed by the changed ones.
+func patch[T any, K comparable](items, changed []T, removed []K, key func(*T) K) []T {
+	if len(changed) == 0 && len(removed) == 0 {
 		return items
 	}
-	drop := make(map[K]struct{}, len(changed)+len(gone))
-	for _, k := range gone {
+	drop := make(map[K]struct{}, len(changed)+len(removed))
+	for _, k := range removed {
 		drop[k] = struct{}{}
 	}
 	for i := range changed {
@@ -128,19 +128,19 @@
 	return append(out, changed...)
 }
 
-// join makes two changes of a list into one.
-func join[T any, K comparable](changed []T, gone []K, nextChanged []T, nextGone []K, key func(*T) K) ([]T, []K) {
-	again := make(map[K]struct{}, len(nextChanged))
+// join combines two consecutive changes of a list into one.
+func join[T any, K comparable](changed []T, removed []K, nextChanged []T, nextRemoved []K, key func(*T) K) ([]T, []K) {
+	readded := make(map[K]struct{}, len(nextChanged))
 	for i := range nextChanged {
-		again[key(&nextChanged[i])] = struct{}{}
+		readded[key(&nextChanged[i])] = struct{}{}
 	}
-	var stillGone []K
-	for _, k := range gone {
-		if _, ok := again[k]; !ok {
-			stillGone = append(stillGone, k)
+	var stillRemoved []K
+	for _, k := range removed {
+		if _, ok := readded[k]; !ok {
+			stillRemoved = append(stillRemoved, k)
 		}
 	}
-	return patch(changed, nextChanged, nextGone, key), append(stillGone, nextGone...)
+	return patch(changed, nextChanged, nextRemoved, key), append(stillRemoved, nextRemoved...)
 }
 
 func (s *Service) key() string { return s.Name }
@@ -155,7 +155,8 @@
 		slices.Equal(r.Regions, o.Regions)
 }
 
-// Digest tells bundles apart by their content, in whatever order that stands.
+// Digest returns a sum over the routes, services and operators, whatever their order. Bundles with the same digest have the
+// same ones.
 func (b *Bundle) Digest() uint64 {
 	var sum uint64
 	var buf []byte
@@ -172,7 +173,8 @@
 	return sum
 }
 
-// digestOf is for what a bundle has few of: it encodes what it is given.
+// digestOf returns the digest of the JSON form of v. It is for services and operators, of which a bundle has few: encoding
+// them is slow.
 func digestOf(v any) uint64 {
 	src, err := json.Marshal(v)
 	if err != nil {
@@ -181,7 +183,7 @@
 	return xxhash.Sum64(src)
 }
 
-// appendTo appends all that a route says. No two routes give the same bytes.
+// appendTo appends all fields of the route to b. No two different routes give the same bytes.
 func (r *Route) appendTo(b []byte) []byte {
 	text := func(s string) {
 		b = binary.AppendUvarint(b, uint64(len(s)))
--- a/internal/version/bundle/update_test.go
+++ b/internal/version/bundle/update_test.go
@@ -13,7 +13,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// accepted makes a bundle of routes to one of two services, by their numbers.
+// accepted returns a bundle of version v with two services and with routes, each given by its number and that of its service.
 func accepted(v bundle.Version, routes map[int]int) bundle.Accepted {
 	b := &bundle.Bundle{}
 	for i := range 2 {
@@ -29,14 +29,14 @@
 		})
 	}
 	if err := b.Check(); err != nil {
-		panic(err) // All that tests make is good.
+		panic(err) // Tests use valid bundles only.
 	}
 	return bundle.Accepted{Version: v, Bundle: b}
 }
 
-// Whatever versions a member missed, what it is told leads it to exactly the bundle in force: a route
-// that stays though it was dropped, or is missing though it was added, is one that callers meet.
-func TestHistoryLeadsEveryoneToTheBundleInForce(t *testing.T) {
+// Whatever versions a member missed, the update that it is sent must lead to exactly the bundle in force. Otherwise
+// callers find routes that were dropped, or don't find routes that were added.
+func TestHistoryLeadsFromAnyVersionToBundleInForce(t *testing.T) {
 	routesOf := rapid.MapOfN(rapid.IntRange(0, 30), rapid.IntRange(0, 1), 0, 20)
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -62,7 +62,8 @@
 	})
 }
 
-func TestHistoryTellsLittleOfASmallChange(t *testing.T) {
+// Guards against updates whose size depends on the bundle rather than on the change.
+func TestHistoryReturnsSmallUpdateForSmallChange(t *testing.T) {
 	g := NewWithT(t)
 	routes := make(map[int]int)
 	for i := range 1000 {
@@ -78,11 +79,11 @@
 	u := h.Since(1)
 	g.Expect(u.From).To(BeEquivalentTo(1))
 	g.Expect(u.Size()).To(Equal(2))
-	g.Expect(h.Since(9).From).To(BeZero(), "a version that isn't remembered is led by the whole bundle")
+	g.Expect(h.Since(9).From).To(BeZero(), "a version without a step needs the whole bundle")
 }
 
-// A step leads on from a version that this daemon never had in force.
-func TestHistoryBeginsAnewAfterAGap(t *testing.T) {
+// Guards against keeping steps when the next update starts from a version that this daemon never had in force.
+func TestHistoryDropsStepsAfterGap(t *testing.T) {
 	first, second := accepted(1, map[int]int{1: 0}), accepted(2, map[int]int{1: 1})
 	third, fourth := accepted(3, map[int]int{1: 0, 2: 0}), accepted(4, map[int]int{2: 0})
 	for name, step := range map[string]*bundle.Update{
@@ -104,8 +105,8 @@
 	}
 }
 
-// What is remembered grows with each version of a large bundle until the daemon's memory is gone.
-func TestHistoryRemembersNoMoreThanTheBundleHas(t *testing.T) {
+// Guards against a history that grows with each version of a large bundle until the daemon runs out of memory.
+func TestHistoryIsNoLargerThanBundle(t *testing.T) {
 	const many = 100
 	routes := func(service int) map[int]int {
 		out := make(map[int]int)
@@ -125,14 +126,14 @@
 	}
 	for name, tc := range map[string]struct {
 		versions []map[int]int
-		// oldest is the oldest version that changes lead on from.
+		// oldest is the oldest version for which there is a step.
 		oldest bundle.Version
 	}{
-		"one change a version: the last eight":                 {versions: small(routes(0)), oldest: 3},
+		"one change per version: the last eight":               {versions: small(routes(0)), oldest: 3},
 		"the same, and a bundle of one route and two services": {versions: small(map[int]int{}), oldest: 8},
 		"each route changes twice":                             {versions: []map[int]int{routes(0), routes(1), routes(0)}, oldest: 2},
-		"nearly all routes go":                                 {versions: []map[int]int{routes(0), {1: 0}}, oldest: 2},
-		"half of the routes come":                              {versions: []map[int]int{{1: 0}, routes(0)}, oldest: 1},
+		"nearly all routes are removed":                        {versions: []map[int]int{routes(0), {1: 0}}, oldest: 2},
+		"half of the routes are added":                         {versions: []map[int]int{{1: 0}, routes(0)}, oldest: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -156,14 +157,14 @@
 	}
 }
 
-// A daemon with another bundle under the same number, as after a mistaken restore, would serve a
-// mixture of both for as long as it runs.
-func TestUpdateIsRefused(t *testing.T) {
+// A daemon has another bundle with the same version, for example after a mistaken restore. If it applied the update, it
+// would route by a mixture of both until it restarts.
+func TestUpdateRefusesOtherBundle(t *testing.T) {
 	first, second := accepted(1, map[int]int{1: 0}), accepted(2, map[int]int{1: 0, 2: 1})
 	for name, at := range map[string]bundle.Accepted{
-		"by another version":                    accepted(3, map[int]int{1: 0}),
-		"by another bundle under its number":    accepted(1, map[int]int{1: 1, 3: 0}),
-		"by a daemon that has no bundle at all": {},
+		"another version":                    accepted(3, map[int]int{1: 0}),
+		"another bundle of the same version": accepted(1, map[int]int{1: 1, 3: 0}),
+		"no bundle at all":                   {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -173,9 +174,9 @@
 	}
 }
 
-// What an update shares with the bundle that it leads on from isn't changed by it: packets are decided
-// by that one meanwhile.
-func TestUpdateLeavesTheFormerBundleAsItIs(t *testing.T) {
+// Guards against an update that modifies the bundle that it starts from: packets are decided by that bundle at the same
+// time, and the result shares its unchanged parts.
+func TestUpdateDoesNotModifyFormerBundle(t *testing.T) {
 	g := NewWithT(t)
 	first, second := accepted(1, map[int]int{1: 0, 2: 0}), accepted(2, map[int]int{1: 1, 3: 0})
 	before := first.Bundle.Digest()
@@ -199,7 +200,7 @@
 	}
 }
 
-// BenchmarkApply is what a change of one route costs a daemon, at the routes of the size to design for.
+// BenchmarkApply measures the cost of a change of one route for a daemon, with as many routes as the system is designed for.
 func BenchmarkApply(b *testing.B) {
 	routes := make(map[int]int)
 	for i := range 47_000 {
--- a/internal/version/hujson/hujson.go
+++ b/internal/version/hujson/hujson.go
@@ -150,7 +150,7 @@
 		name := m.Name.Value.(hujson.Literal).String()
 		field := join(path, name)
 		if seen[name] {
-			d.findings.Add(field, "stands twice")
+			d.findings.Add(field, "duplicate key")
 			continue
 		}
 		seen[name] = true
