--- a/internal/version/evacuation/evacuation.go
+++ b/internal/version/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation knows which zones are evacuated: an operator has asked that no new flow
-// enters them until they are taken back.
+// Package evacuation keeps the zones that are evacuated: an operator requested that no new flow enters them until
+// their evacuation ends.
 package evacuation
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// Zones are the evacuated zones as of one position in the store's history. They are few and travel whole: whoever
-// holds those of a position lacks nothing of the positions before it. The zero value is none, as
-// of no position. It isn't safe for concurrent use.
+// Zones are the evacuated zones as of one position in the store's history. There are few of them, and they are always
+// sent as a whole: whoever has the zones as of a position needs none of an earlier one. The zero value has no
+// zones and no position. It isn't safe for concurrent use.
 type Zones struct {
 	_    struct{} `cbor:",toarray"`
 	AsOf objects.Position
-	// List is in order and holds each zone once.
+	// List is sorted and contains each zone once.
 	List []bundle.Zone
 }
 
-// NewZones returns the zones of a list as of a revision.
+// NewZones returns the zones of a list, sorted and without duplicates, as of a position.
 func NewZones(list []bundle.Zone, asOf objects.Position) Zones {
 	list = slices.Clone(list)
 	slices.Sort(list)
@@ -35,13 +35,13 @@
 	return ok
 }
 
-// Change says that a zone is evacuated or was taken back.
+// Change says that a zone is evacuated, or that its evacuation ended if Lifted is set.
 type Change struct {
 	Zone   bundle.Zone
 	Lifted bool
 }
 
-// WithChanges returns the zones once changes up to a revision have been made to these.
+// WithChanges returns a copy of the zones with changes applied, as of a later position.
 func (z *Zones) WithChanges(changes []Change, asOf objects.Position) Zones {
 	list := slices.Clone(z.List)
 	for _, ch := range changes {
@@ -53,31 +53,31 @@
 	return NewZones(list, asOf)
 }
 
-// Supersedes reports whether these zones are to replace others: those of an earlier revision. A word
-// that was on its way for long must not undo what a later one said.
+// Supersedes reports whether these zones are of a later position than old and so replace it. A delayed message
+// must not undo a later one.
 func (z *Zones) Supersedes(old *Zones) bool { return z.AsOf > old.AsOf }
 
-// SameZones reports whether both are the same zones, as of whatever revision.
+// SameZones reports whether both contain the same zones, regardless of their positions.
 func (z *Zones) SameZones(o *Zones) bool { return slices.Equal(z.List, o.List) }
 
-// Digest tells zones apart by their names.
+// Digest returns a hash of the zones' names. It doesn't depend on the position.
 func (z *Zones) Digest() uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, name := range z.List {
-		_, _ = h.WriteString(string(name)) // It never fails.
+		_, _ = h.WriteString(string(name)) // It never returns an error.
 		_, _ = h.Write([]byte{0})
 	}
 	return h.Sum64()
 }
 
-// ErrZones is returned for zones that can't be used.
+// ErrZones is returned for zones that are unusable.
 var ErrZones = eris.New("evacuation: unusable zones")
 
-// MaxZones bounds what a message may claim. The size to design for has 10 zones.
+// MaxZones bounds the number of zones in a message. The system is designed for 10 zones.
 const MaxZones = 256
 
-// Check reports why decoded zones can't be used, or nil.
+// Check returns an error that says why decoded zones are unusable, or nil.
 func (z *Zones) Check() error {
 	if len(z.List) > MaxZones {
 		return eris.Wrapf(ErrZones, "%d zones, want at most %d", len(z.List), MaxZones)
@@ -87,7 +87,7 @@
 		case name == "":
 			return eris.Wrapf(ErrZones, "zone %d has no name", i+1)
 		case i > 0 && z.List[i-1] >= name:
-			return eris.Wrapf(ErrZones, "zone %q isn't in order", name)
+			return eris.Wrapf(ErrZones, "zone %q is out of order", name)
 		}
 	}
 	return nil
--- a/internal/version/evacuation/evacuation_test.go
+++ b/internal/version/evacuation/evacuation_test.go
@@ -9,17 +9,17 @@
 )
 
 var _ = Describe("Evacuated zones", func() {
-	// An operator empties a zone. A word of the time before arrives late, by a slow member, and
-	// new flows enter the zone again.
-	It("aren't replaced by those of an earlier revision", func() {
+	// An operator evacuates a zone. An earlier message arrives late through a slow member. If it were applied,
+	// new flows would enter the zone again.
+	It("aren't replaced by those of an earlier position", func() {
 		now := evacuation.NewZones([]bundle.Zone{"a"}, 9)
 		late := evacuation.NewZones(nil, 8)
 		Expect(late.Supersedes(&now)).To(BeFalse())
-		taken := evacuation.NewZones(nil, 10)
-		Expect(taken.Supersedes(&now)).To(BeTrue())
+		lifted := evacuation.NewZones(nil, 10)
+		Expect(lifted.Supersedes(&now)).To(BeTrue())
 	})
 
-	It("follow changes in their order: one is taken back while another begins", func() {
+	It("follow changes in order: one evacuation ends while another begins", func() {
 		z := evacuation.NewZones([]bundle.Zone{"b"}, 3)
 		z = z.WithChanges([]evacuation.Change{
 			{Zone: "a"}, {Zone: "b", Lifted: true}, {Zone: "c"}, {Zone: "c", Lifted: true}, {Zone: "c"},
@@ -30,7 +30,7 @@
 		Expect(z.Has("b")).To(BeFalse())
 	})
 
-	It("are told apart by their names alone", func() {
+	It("have a digest of their names alone", func() {
 		z, later := evacuation.NewZones([]bundle.Zone{"b", "a", "b"}, 3), evacuation.NewZones([]bundle.Zone{"a", "b"}, 8)
 		joined := evacuation.NewZones([]bundle.Zone{"ab"}, 3)
 		Expect(z.Digest()).To(Equal(later.Digest()))
@@ -43,11 +43,11 @@
 		cause string
 	}{
 		"a zone without a name": {[]bundle.Zone{"", "a"}, "no name"},
-		"a zone twice":          {[]bundle.Zone{"a", "a"}, "order"},
+		"a duplicate zone":      {[]bundle.Zone{"a", "a"}, "order"},
 		"zones out of order":    {[]bundle.Zone{"b", "a"}, "order"},
-		"far too many zones":    {make([]bundle.Zone, evacuation.MaxZones+1), "at most"},
+		"too many zones":        {make([]bundle.Zone, evacuation.MaxZones+1), "at most"},
 	} {
-		It("are refused from a message with "+name, func() {
+		It("are refused if they are decoded with "+name, func() {
 			z := evacuation.Zones{List: tc.list}
 			Expect(z.Check()).To(MatchError(ContainSubstring(tc.cause)))
 		})
--- a/internal/version/evacuation/inforce.go
+++ b/internal/version/evacuation/inforce.go
@@ -9,16 +9,17 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// InForce are the zones that get no new flow: those that the store names, and those that it lacks since it was
-// restored from a snapshot, for objects.RestoreGrace at most. The zero value is none. It isn't safe for concurrent use.
+// InForce holds the zones that get no new flow: those that the store has, and those that it lacks since it was
+// restored from a snapshot, for objects.RestoreGrace at most. The zero value has none. It isn't safe for concurrent use.
 type InForce struct {
-	// Stored are the store's.
+	// Stored are the zones that the store has.
 	Stored Zones
-	// held are those that the snapshot lacks, with the time until which they stay.
+	// held are the zones that the snapshot lacks, each with the time until which it stays in force.
 	held map[bundle.Zone]time.Time
 }
 
-// Update takes in the store's zones unless they are of an earlier position. It reports whether they were taken.
+// Update replaces the store's zones if z is of a later position. It reports whether it did. If the epoch changes, the
+// zones that were in force and that z lacks are held for objects.RestoreGrace.
 func (f *InForce) Update(z Zones, now time.Time) bool {
 	if !z.Supersedes(&f.Stored) {
 		return false
@@ -37,8 +38,8 @@
 	return true
 }
 
-// HeldZones returns the zones that the snapshot lacks, in order, and for how long they stay, for a daemon that started since
-// and can't know it.
+// HeldZones returns the zones that the snapshot lacks, sorted, and for how much longer they stay in force. A daemon that
+// started after the restore can only learn them from another daemon.
 func (f *InForce) HeldZones(now time.Time) ([]bundle.Zone, time.Duration) {
 	var left time.Duration
 	zones := slices.Sorted(maps.Keys(f.held))
@@ -48,7 +49,8 @@
 	return zones, left
 }
 
-// HoldZones takes over zones that another daemon holds back, for a time. It reports whether it knew one of them not.
+// HoldZones takes over zones that another daemon holds, for the duration left, objects.RestoreGrace at most. It reports
+// whether one of them wasn't in force yet.
 func (f *InForce) HoldZones(zones []bundle.Zone, left time.Duration, now time.Time) bool {
 	changed := false
 	for _, zone := range zones {
@@ -64,19 +66,19 @@
 	return changed
 }
 
-// Expire lets those go whose time is over. It reports whether there were any.
+// Expire removes held zones whose time is over. It reports whether there were any.
 func (f *InForce) Expire(now time.Time) bool {
-	gone := false
+	expired := false
 	for zone, until := range f.held {
 		if !now.Before(until) {
 			delete(f.held, zone)
-			gone = true
+			expired = true
 		}
 	}
-	return gone
+	return expired
 }
 
-// Zones returns all zones in force, in order.
+// Zones returns all zones in force, sorted.
 func (f *InForce) Zones() []bundle.Zone {
 	out := slices.Clone(f.Stored.List)
 	for zone := range f.held {
--- a/internal/version/objects/client.go
+++ b/internal/version/objects/client.go
@@ -16,56 +16,56 @@
 	"github.com/fescueshed/fescueshed/internal/version/transfer"
 )
 
-// Call is one call of a store.
+// Call is one HTTP call of a store.
 type Call struct {
 	Method string
 	Path   string
 	Query  url.Values
 	Header http.Header
 	Body   []byte
-	// Timeout is how long the answer may take to begin, since the connection may have gone silent.
-	// What has begun may take as long as it goes on coming.
+	// Timeout is how long the answer may take to begin; a connection may be dead without notice. Once the
+	// answer has begun, it may take as long as data keeps arriving, up to transfer.DefaultMaxDuration.
 	Timeout time.Duration
-	// MaxBytes bounds the bytes of the answer, maxAnswerBytes if it is zero.
+	// MaxBytes bounds the size of the answer's body, maxAnswerBytes if it is zero.
 	MaxBytes int64
-	// AcceptSize, if it isn't nil, is asked before the content of an answer is read, once its size in
-	// bytes is known. The answer is given up with ErrDeclined if it returns false.
+	// AcceptSize, if not nil, is called with the body's size in bytes, once that is known and before the
+	// body is read. If it returns false, the call fails with ErrDeclined.
 	AcceptSize func(size int64) bool
 }
 
-// ObjectCall returns a call of one object, with its bounds.
-func ObjectCall() Call { return Call{Timeout: answerTimeout} }
+// ObjectCall returns a call for a single object, with its time-out set.
+func ObjectCall() Call { return Call{Timeout: firstByteTimeout} }
 
-// ListCall returns the call of a page of a list, with its bounds.
-func ListCall(o *ListOptions) Call { return Call{Timeout: answerTimeout, AcceptSize: o.AcceptSize} }
+// ListCall returns a call for a page of a list, with its time-out and AcceptSize set.
+func ListCall(o *ListOptions) Call { return Call{Timeout: firstByteTimeout, AcceptSize: o.AcceptSize} }
 
-// WatchCall returns a call that waits for changes, with its bounds.
+// WatchCall returns a call that waits for changes, with its time-out and MaxBytes set.
 func WatchCall(wait time.Duration) Call {
-	return Call{Timeout: wait + answerTimeout, MaxBytes: maxWatchBytes}
+	return Call{Timeout: wait + firstByteTimeout, MaxBytes: maxWatchBytes}
 }
 
 var (
-	// ErrDeclined is returned for an answer that AcceptSize refused.
-	ErrDeclined = eris.New("objects: the answer was given up")
-	// ErrTooLarge is returned for an answer of more bytes than it may have.
-	ErrTooLarge = eris.New("objects: the answer is too large")
+	// ErrDeclined is returned for an answer whose size AcceptSize refused.
+	ErrDeclined = eris.New("objects: answer declined because of its size")
+	// ErrTooLarge is returned for an answer of more than MaxBytes.
+	ErrTooLarge = eris.New("objects: answer exceeds the size limit")
 )
 
-// Answer is what a store answered.
+// Answer is a store's HTTP response.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Counts counts calls by outcome. All are safe for concurrent use.
+// Counts counts calls by outcome. It is safe for concurrent use.
 type Counts struct {
-	// Calls counts all calls, Refused the answers of 429 and 5xx, Unanswered the calls
-	// without any answer.
+	// Calls counts all calls, Refused the answers with status 429 or 5xx, Unanswered the calls
+	// without a complete answer.
 	Calls, Refused, Unanswered atomic.Uint64
-	// Latency holds the times of answered calls in seconds, the wait of watches included.
+	// Latency holds the durations of answered calls in seconds, including the wait of watches.
 	Latency metrics.Histogram
-	// Answers counts the bytes of answers, those without any too.
+	// Answers counts the transfers of all calls, including calls without an answer.
 	Answers transfer.Counts
 }
 
@@ -76,29 +76,30 @@
 	Counts Counts
 }
 
-// Limits of a call.
+// Limits of calls and connections.
 const (
-	// answerTimeout is how long an answer may take to begin, beside the wait of a watch. The users'
-	// store answers in 4 ms, and in 240 ms when it is slow; a silent connection costs this long.
-	answerTimeout = 700 * time.Millisecond
-	// maxWatchBytes bounds what a watch may bring: more than the largest object, a megabyte. A
-	// watch tells each version of an object that changed again and again, a list only the last. An
-	// operator who changes a bundle of 600 KB ten times while the store is away would keep every
-	// later version out of force, and twice would make a thin link carry it twice.
+	// firstByteTimeout is how long an answer may take to begin, in addition to the wait of a watch. The
+	// store answers in 4 ms, and in 240 ms when it is slow. A dead connection costs this long.
+	firstByteTimeout = 700 * time.Millisecond
+	// maxWatchBytes bounds the answer of a watch. It is more than the largest object, one megabyte. A watch
+	// returns each version of an object that changed repeatedly, a list only the last. If an operator
+	// changes a bundle of 600 KB ten times while the store is unavailable, a watch of all versions would
+	// keep every later version out of force; after two changes, it would transfer the bundle twice over a
+	// slow link. A watch above the bound fails with ErrTooLarge, so that the caller can list instead.
 	maxWatchBytes = 3 << 19
-	// maxAnswerBytes bounds one answer: a page of a megabyte with its envelope.
+	// maxAnswerBytes bounds any other answer: a page of one megabyte with its envelope.
 	maxAnswerBytes = 4 << 20
-	// idleTimeout closes connections that no call uses. A watch uses its own all
-	// the time, so this only ends what a burst of calls left behind.
+	// idleTimeout closes connections that no call uses. A watch uses its connection all the time, so
+	// this only closes the others that a burst of calls opened.
 	idleTimeout = time.Minute
-	// idleConnections keeps one connection for each kind that is watched.
+	// idleConnections is the number of idle connections that are kept, one for each kind that is watched.
 	idleConnections = 3
 )
 
-// NewClient returns a caller of the store at base, and its clean-up function.
+// NewClient returns a client of the store at a base URL, and its clean-up function.
 func NewClient(base string) (*Client, func()) {
-	// Without this the transport gets ready for HTTP/2 at the first call, which takes a small
-	// host some milliseconds while callers wait for it to start.
+	// Without this, the transport prepares HTTP/2 at the first call, which takes a small host some
+	// milliseconds while callers wait for it to start.
 	var http1 http.Protocols
 	http1.SetHTTP1(true)
 	t := &http.Transport{
@@ -109,14 +110,14 @@
 	return c, t.CloseIdleConnections
 }
 
-// SetBase makes later calls go to the store at base.
+// SetBase makes later calls use another base URL.
 func (c *Client) SetBase(base string) {
 	base = strings.TrimSuffix(base, "/")
 	c.base.Store(&base)
 }
 
-// Do makes a call. An error means that nothing is known of its effect. A
-// connection whose call timed out isn't used again.
+// Do makes a call. After an error, the call may or may not have taken effect. A connection whose call
+// timed out isn't used again.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
 	at := *c.base.Load() + call.Path
 	if len(call.Query) > 0 {
@@ -154,7 +155,7 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	defer func() { _ = resp.Body.Close() }() // The body was read or the call failed.
+	defer func() { _ = resp.Body.Close() }() // The body has been read, or the call failed.
 	most := call.MaxBytes
 	if most == 0 {
 		most = maxAnswerBytes
--- a/internal/version/objects/client_test.go
+++ b/internal/version/objects/client_test.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// parts come partPause apart. Together they take twice as long as the answer may take to begin,
-	// and each a tenth of it.
+	// A server sends parts at intervals of partPause. All parts together take twice as long as the answer may
+	// take to begin, and each pause a tenth of it.
 	parts        = 20
 	partPause    = 100 * time.Millisecond
 	beginTimeout = time.Second
 )
 
-// dribble answers in parts and stops after some of them.
-func dribble(t *testing.T, stopAfter int) *objects.Client {
+// slowServer returns a client of a server that answers in parts and sends nothing more after stopAfter of them.
+func slowServer(t *testing.T, stopAfter int) *objects.Client {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for i := range parts {
@@ -30,7 +30,7 @@
 				<-r.Context().Done()
 				return
 			}
-			_, _ = w.Write([]byte("part")) // The caller may have gone away.
+			_, _ = w.Write([]byte("part")) // The client may have closed the connection.
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(partPause)
 		}
@@ -44,32 +44,31 @@
 	return c
 }
 
-// A bundle never comes into force on a host with a thin link: its answer takes longer than the store
-// is given to answer, is thrown away though it was coming, and begins anew.
-func TestCallerTakesAnAnswerThatGoesOnComing(t *testing.T) {
+// On a slow link, the transfer of a large bundle takes longer than the store may take to begin its answer. Guards
+// against aborting and repeating it while data arrives, so that the bundle never comes into force.
+func TestClientReceivesAnswerAsLongAsDataArrives(t *testing.T) {
 	g := NewWithT(t)
-	c := dribble(t, parts)
+	c := slowServer(t, parts)
 	a, err := c.Do(context.Background(), objects.Call{Method: http.MethodGet, Path: "/", Timeout: beginTimeout})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(a.Body).To(HaveLen(parts * len("part")))
 	g.Expect(c.Counts.Answers.Wasted.Load()).To(BeZero())
 }
 
-// The connection goes silent in the middle of an answer. A call that waited for the rest would hold up
-// every later change.
-func TestCallerGivesUpAnAnswerThatStops(t *testing.T) {
+// The connection dies in the middle of an answer. A call that waited for the rest would delay every later change.
+func TestClientAbortsAnswerThatStops(t *testing.T) {
 	g := NewWithT(t)
-	c := dribble(t, 3)
+	c := slowServer(t, 3)
 	_, err := c.Do(context.Background(), objects.Call{Method: http.MethodGet, Path: "/", Timeout: beginTimeout})
 	g.Expect(err).To(MatchError(transfer.ErrStalled))
 	g.Expect(c.Counts.Answers.Failed.Load()).To(BeEquivalentTo(1))
 	g.Expect(c.Counts.Answers.Wasted.Load()).To(BeEquivalentTo(3 * len("part")))
 }
 
-// The connection is silent from the start.
-func TestCallerGivesUpAnAnswerThatDoesNotBegin(t *testing.T) {
+// The connection is dead from the start.
+func TestClientAbortsAnswerThatDoesNotBegin(t *testing.T) {
 	g := NewWithT(t)
-	c := dribble(t, 0)
+	c := slowServer(t, 0)
 	_, err := c.Do(context.Background(), objects.Call{Method: http.MethodGet, Path: "/", Timeout: beginTimeout})
 	g.Expect(err).To(MatchError(transfer.ErrStalled))
 	g.Expect(c.Counts.Unanswered.Load()).To(BeEquivalentTo(1))
--- a/internal/version/objects/doc.go
+++ b/internal/version/objects/doc.go
@@ -1,4 +1,4 @@
-// Package objects is what the product asks of an object store: kinds of objects
-// that are listed, watched and written under a condition. Dialects of stores are
-// codecs of it; the calls over HTTP are made in one place.
+// Package objects defines what fescueshed needs of an object store: kinds of objects that are listed, watched
+// and written conditionally. Each dialect of a store implements it by encoding and decoding; Client
+// makes the HTTP calls of all dialects.
 package objects
--- a/internal/version/objects/listing_test.go
+++ b/internal/version/objects/listing_test.go
@@ -16,10 +16,9 @@
 	return p
 }
 
-// A host that starts gets no list for half a minute: the store refuses a part of all
-// calls, a refusal of the last page throws the first ones away, and all hosts that
-// begin anew keep the store busy.
-func TestListingGoesOnWithThePageThatFailed(t *testing.T) {
+// The store refuses a part of all calls. If a refusal of the last page discarded the first ones, a host that
+// starts would get no list for half a minute, and all hosts that start again would keep the store overloaded.
+func TestListingContinuesWithFailedPage(t *testing.T) {
 	g := NewWithT(t)
 	l := objects.NewListing[int](true)
 	g.Expect(l.Next()).To(Equal(objects.ListOptions{}))
@@ -30,13 +29,12 @@
 	g.Expect(l.Add(page(9, "", "c"))).To(Succeed())
 	g.Expect(l.Done()).To(BeTrue())
 	g.Expect(l.Snapshot().Objects).To(HaveLen(3))
-	g.Expect(l.NeedsWatch()).To(BeTrue(), "the second page may be old")
+	g.Expect(l.NeedsWatch()).To(BeTrue(), "the second page may be stale")
 }
 
-// All hosts come back from a loss of power and callers wait. At most installations the list
-// fits one page: with a stale one and a watch for what it lacks, each host asks twice, one
-// call after the other, and callers wait for two answers.
-func TestListingOfOnePageIsCompleteWithOneCall(t *testing.T) {
+// All hosts start after a power failure, and callers wait. In most installations the list fits one page. If that
+// page was stale, each host would need a watch as well, and callers would wait for two consecutive answers.
+func TestListingOfOnePageNeedsOneCall(t *testing.T) {
 	g := NewWithT(t)
 	l := objects.NewListing[int](true)
 	g.Expect(l.Next().Stale).To(BeFalse())
@@ -45,9 +43,8 @@
 	g.Expect(l.NeedsWatch()).To(BeFalse())
 }
 
-// A store that is short of calls refuses fresh pages and serves stale ones. A host that
-// insists on a fresh one never starts.
-func TestListingTakesAStaleFirstPageIfAFreshOneFailed(t *testing.T) {
+// An overloaded store refuses fresh pages and serves stale ones. A host that insisted on a fresh one would never start.
+func TestListingAcceptsStaleFirstPageAfterFailure(t *testing.T) {
 	g := NewWithT(t)
 	l := objects.NewListing[int](true)
 	l.RecordFailure()
@@ -59,13 +56,12 @@
 	g.Expect(fresh.Next().Stale).To(BeFalse(), "a list that must be fresh stays so")
 }
 
-// Pages come from copies of the store that lag by different times. A watch from a
-// later revision than that of the oldest page never tells what this page lacks: an
-// upstream that drains would get flows until it is gone.
-func TestListingIsAsOldAsItsOldestPage(t *testing.T) {
+// Pages come from replicas of the store with different lags. A watch from a later position than that of the oldest
+// page would never return what that page lacks: a draining upstream would get flows until it is removed.
+func TestListingIsAsOldAsOldestPage(t *testing.T) {
 	for name, pages := range map[string][]objects.Page[int]{
-		"the first is oldest": {page(5, "a", "a"), page(9, "", "b")},
-		"the last is oldest":  {page(9, "a", "a"), page(5, "", "b")},
+		"the first is the oldest": {page(5, "a", "a"), page(9, "", "b")},
+		"the last is the oldest":  {page(9, "a", "a"), page(5, "", "b")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/version/objects/position_test.go
+++ b/internal/version/objects/position_test.go
@@ -12,13 +12,13 @@
 func at(epoch objects.Epoch, revision uint64) objects.Position {
 	p, err := objects.NewPosition(epoch, revision)
 	if err != nil {
-		panic(err) // Tests name positions that there are.
+		panic(err) // Tests use valid positions only.
 	}
 	return p
 }
 
-// Guards against a word of an earlier epoch that goes over a later one since its revision is higher.
-func TestPositionsAreOrderedByTheirEpochFirst(t *testing.T) {
+// Guards against a message of an earlier epoch that supersedes a later one because its revision is higher.
+func TestPositionsAreOrderedByEpochFirst(t *testing.T) {
 	g := NewWithT(t)
 	for _, p := range []struct{ before, after objects.Position }{
 		{0, at(0, 1)}, {at(0, 26), at(0, 27)}, {at(0, 27), at(1, 0)}, {at(1, 20), at(1, 21)}, {at(1, 1<<40-1), at(2, 1)},
@@ -30,7 +30,7 @@
 	g.Expect(at(7, 19).Revision()).To(BeEquivalentTo(19))
 }
 
-// Guards against a number that spills over into the epoch, and makes a store seem to have be restored from a snapshot.
+// Guards against a revision that overflows into the epoch, so that the store seems to have been restored from a snapshot.
 func TestPositionsOutOfRangeAreRefused(t *testing.T) {
 	for name, p := range map[string]struct {
 		epoch    objects.Epoch
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards against a list of pages from before and after a restore of the store, which the store never had.
-func TestListingRefusesAPageOfAnotherEpoch(t *testing.T) {
+// Guards against a list with pages from before and after a restore of the store. The store never had such a list.
+func TestListingRefusesPageOfAnotherEpoch(t *testing.T) {
 	for name, epochs := range map[string][2]objects.Epoch{"the store was restored": {0, 1}, "a lagging replica answers": {1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/version/objects/stalls_test.go
+++ b/internal/version/objects/stalls_test.go
@@ -9,22 +9,24 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-func TestStalls(t *testing.T) {
+// Guards against repeating a watch forever that the store can't answer in time, and against a list by every daemon after an
+// outage of the store.
+func TestStallDetector(t *testing.T) {
 	const (
-		watched = iota
-		beside  // not answered, though another call was meanwhile
-		silent  // not answered, nor was any other
+		answered = iota
+		stalled  // not answered, but another call was answered meanwhile
+		outage   // not answered, and no other call was either
 	)
 	for name, tc := range map[string]struct {
 		watches []int
 		lists   bool
 	}{
-		"the store answers all but this kind":              {watches: []int{beside, beside}, lists: true},
-		"a connection went silent":                         {watches: []int{beside, watched, beside}},
-		"the store is away, however long":                  {watches: []int{silent, silent, silent, silent}},
-		"the store comes back between two watches":         {watches: []int{silent, beside, watched}},
-		"the store answered others only before it went":    {watches: []int{beside, silent, beside}},
-		"a kind that was listed has two watches once more": {watches: []int{beside, beside, beside}},
+		"the store answers all other kinds":                        {watches: []int{stalled, stalled}, lists: true},
+		"a connection died":                                        {watches: []int{stalled, answered, stalled}},
+		"the store is unavailable, however long":                   {watches: []int{outage, outage, outage, outage}},
+		"the store recovers between two watches":                   {watches: []int{outage, stalled, answered}},
+		"the store answered others only before it was unavailable": {watches: []int{stalled, outage, stalled}},
+		"a kind that was listed may again miss one watch":          {watches: []int{stalled, stalled, stalled}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s objects.StallDetector
@@ -33,11 +35,11 @@
 			for _, w := range tc.watches {
 				began = began.Add(time.Second)
 				switch w {
-				case watched:
+				case answered:
 					s.RecordAnswered()
-				case beside:
+				case stalled:
 					lists = s.RecordStalled(began, began.Add(time.Millisecond))
-				case silent:
+				case outage:
 					lists = s.RecordStalled(began, began.Add(-time.Millisecond))
 				}
 			}
--- a/internal/version/transfer/doc.go
+++ b/internal/version/transfer/doc.go
@@ -1,5 +1,5 @@
-// Package transfer watches over answers that take time to arrive. An answer is given up when it
-// stops coming, not when it takes long: how long it may take depends on its size and on the link, and
-// what is given up shortly before its end has to come once more. Each given-up answer makes the
-// next one slower, until none arrives at all.
+// Package transfer supervises answers that take time to arrive. A transfer is aborted when no more data arrives,
+// rather than when it takes long: how long it may take depends on its size and on the link, and a transfer that is
+// aborted shortly before its end has to be repeated. Each aborted transfer slows down the next one, until none
+// completes.
 package transfer
--- a/internal/version/transfer/transfer.go
+++ b/internal/version/transfer/transfer.go
@@ -10,68 +10,69 @@
 	"github.com/rotisserie/eris"
 )
 
-// Limits bound one transfer. The zero value is no bound.
+// Limits bound one transfer. The zero value sets no bound.
 type Limits struct {
-	// FirstByteTimeout is how long the answer may take to begin, zero if only the caller's context bounds the
-	// transfer.
+	// FirstByteTimeout is how long the answer may take to begin. If it is zero, only the context of the caller
+	// bounds the transfer, and the other limits have no effect.
 	FirstByteTimeout time.Duration
-	// StallTimeout is how long nothing of it may arrive once it has begun.
+	// StallTimeout is how long no data may arrive once the answer has begun. Zero is no bound.
 	StallTimeout time.Duration
-	// MaxDuration is how long the rest of it may take, DefaultLongest if it is zero.
+	// MaxDuration is how long the rest of the answer may take, DefaultMaxDuration if it is zero.
 	MaxDuration time.Duration
 }
 
 const (
-	// DefaultStallTimeout is three retransmissions on a link that loses packets. A connection that went
-	// silent in the middle of an answer costs this long.
+	// DefaultStallTimeout is the time of three retransmissions on a link that loses packets. A connection
+	// that dies in the middle of an answer costs this long.
 	DefaultStallTimeout = 700 * time.Millisecond
-	// DefaultMaxDuration ends a transfer that comes in drops, which would else hold up all later ones. It
-	// is what four megabytes, the largest answer, take on a third of the users' thinnest link, 10
-	// Mbit/s.
+	// DefaultMaxDuration bounds a transfer whose data arrives in small pieces, which would otherwise delay all
+	// later transfers. The largest answer, four megabytes, takes this long on a third of a link of 10 Mbit/s,
+	// the slowest link that is supported.
 	DefaultMaxDuration = 10 * time.Second
 )
 
-// ErrStalled is the cause of the end of a transfer that didn't begin, stopped or took longer than
-// any answer does.
-var ErrStalled = eris.New("transfer: nothing arrives any more")
+// ErrStalled is the cause of the end of a transfer that exceeded one of its limits: it didn't begin, stopped or
+// took too long.
+var ErrStalled = eris.New("transfer: aborted at a time limit")
 
-// Transfer is one answer under way. Bytes is safe for concurrent use; Begin, reading and End follow
-// each other.
+// Transfer is one answer in progress. Bytes is safe for concurrent use. Begin, the use of the Reader and End must
+// follow each other.
 type Transfer struct {
-	counts *Counts
-	limits Limits
-	read   atomic.Uint64
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	// stall ends the transfer unless it is put off, end in any case.
-	stall, end *time.Timer
+	counts   *Counts
+	limits   Limits
+	received atomic.Uint64
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	// stallTimer ends the transfer unless data arrives and resets it, endTimer ends it in any case.
+	stallTimer, endTimer *time.Timer
 }
 
-// Begin starts to wait for an answer. The context that it returns ends when the transfer is to be
-// given up. End must be called.
+// Begin starts a transfer. The returned context is cancelled when the transfer exceeds a limit. End must be
+// called.
 func (c *Counts) Begin(ctx context.Context, l Limits) (context.Context, *Transfer) {
 	c.Begun.Add(1)
 	ctx, cancel := context.WithCancelCause(ctx)
 	t := &Transfer{counts: c, limits: l, ctx: ctx, cancel: cancel}
-	giveUp := func() { cancel(ErrStalled) }
+	abort := func() { cancel(ErrStalled) }
 	if l.FirstByteTimeout > 0 {
-		t.stall = time.AfterFunc(l.FirstByteTimeout, giveUp)
-		t.end = time.AfterFunc(l.FirstByteTimeout+cmp.Or(l.MaxDuration, DefaultMaxDuration), giveUp)
+		t.stallTimer = time.AfterFunc(l.FirstByteTimeout, abort)
+		t.endTimer = time.AfterFunc(l.FirstByteTimeout+cmp.Or(l.MaxDuration, DefaultMaxDuration), abort)
 	}
 	return ctx, t
 }
 
-// Bytes returns how many bytes have arrived.
-func (t *Transfer) Bytes() uint64 { return t.read.Load() }
+// Bytes returns how many bytes have been received.
+func (t *Transfer) Bytes() uint64 { return t.received.Load() }
 
-// Reader returns r, each part of which puts the end of the transfer off.
+// Reader returns a reader of r that counts the bytes received and restarts the stall time-out with each read.
 func (t *Transfer) Reader(r io.Reader) io.Reader { return reader{t: t, r: r} }
 
-// End notes how the transfer ended. It returns the error with its cause.
+// End records how the transfer ended; err is nil if it succeeded. It returns nil, err, or ErrStalled if the transfer
+// exceeded a limit.
 func (t *Transfer) End(err error) error {
-	if t.stall != nil {
-		t.stall.Stop()
-		t.end.Stop()
+	if t.stallTimer != nil {
+		t.stallTimer.Stop()
+		t.endTimer.Stop()
 	}
 	if err == nil {
 		t.cancel(nil)
@@ -86,11 +87,11 @@
 	return err
 }
 
-func (t *Transfer) arrived(n int) {
-	t.read.Add(uint64(n))
+func (t *Transfer) addBytes(n int) {
+	t.received.Add(uint64(n))
 	t.counts.Bytes.Add(uint64(n))
-	if n > 0 && t.stall != nil && t.limits.StallTimeout > 0 {
-		t.stall.Reset(t.limits.StallTimeout)
+	if n > 0 && t.stallTimer != nil && t.limits.StallTimeout > 0 {
+		t.stallTimer.Reset(t.limits.StallTimeout)
 	}
 }
 
@@ -102,6 +103,6 @@
 // Read implements io.Reader.
 func (r reader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
-	r.t.arrived(n)
+	r.t.addBytes(n)
 	return n, err
 }
--- a/internal/version/transfer/transfer_test.go
+++ b/internal/version/transfer/transfer_test.go
@@ -12,18 +12,17 @@
 	"github.com/fescueshed/fescueshed/internal/version/transfer"
 )
 
-// patience bounds what is awaited; how long it took isn't judged.
-const patience = 30 * time.Second
+// maxWait bounds how long the test waits for the end of a transfer. The test doesn't check the time that it takes.
+const maxWait = 30 * time.Second
 
-// drops brings a byte each time, as often as left says, and then nothing until the transfer is given
-// up.
-type drops struct {
+// trickle returns one byte per read, as many times as left says, and then nothing until the transfer is aborted.
+type trickle struct {
 	ctx  context.Context
 	left int
 }
 
 // Read implements io.Reader.
-func (d *drops) Read(b []byte) (int, error) {
+func (d *trickle) Read(b []byte) (int, error) {
 	pause := time.Millisecond
 	if d.left == 0 {
 		pause = time.Hour
@@ -37,8 +36,8 @@
 	}
 }
 
-// A daemon fetches one catalog at once. Each of these answers would hold up all that it is told later.
-func TestTransferIsGivenUp(t *testing.T) {
+// A daemon fetches one catalog at a time. Without a limit, each of these answers would delay everything that follows.
+func TestTransferIsAborted(t *testing.T) {
 	for name, tc := range map[string]struct {
 		limits transfer.Limits
 		left   int
@@ -50,7 +49,7 @@
 			limits: transfer.Limits{FirstByteTimeout: time.Hour, StallTimeout: time.Second, MaxDuration: time.Hour},
 			left:   3,
 		},
-		"one that comes in drops": {
+		"one that arrives in small pieces": {
 			limits: transfer.Limits{FirstByteTimeout: time.Second, StallTimeout: time.Hour, MaxDuration: 100 * time.Millisecond},
 			left:   math.MaxInt,
 		},
@@ -61,23 +60,23 @@
 			ctx, tr := counts.Begin(t.Context(), tc.limits)
 			ended := make(chan error, 1)
 			go func() {
-				_, err := io.Copy(io.Discard, tr.Reader(&drops{ctx: ctx, left: tc.left}))
+				_, err := io.Copy(io.Discard, tr.Reader(&trickle{ctx: ctx, left: tc.left}))
 				ended <- tr.End(err)
 			}()
-			g.Eventually(ended, patience).Should(Receive(MatchError(transfer.ErrStalled)))
+			g.Eventually(ended, maxWait).Should(Receive(MatchError(transfer.ErrStalled)))
 			g.Expect(counts.Failed.Load()).To(BeEquivalentTo(1))
 			g.Expect(counts.Wasted.Load()).To(Equal(counts.Bytes.Load()))
 		})
 	}
 }
 
-// The caller ends, as when a daemon is stopped. That is no trouble of the link.
-func TestTransferThatItsCallerEndsDidNotStall(t *testing.T) {
+// The caller ends the transfer, for example because the daemon stops. That isn't a failure of the link.
+func TestTransferEndedByCallerIsNotStalled(t *testing.T) {
 	g := NewWithT(t)
 	var counts transfer.Counts
 	parent, cancel := context.WithCancel(t.Context())
 	ctx, tr := counts.Begin(parent, transfer.Limits{FirstByteTimeout: time.Hour, StallTimeout: time.Hour})
 	cancel()
-	_, err := io.Copy(io.Discard, tr.Reader(&drops{ctx: ctx}))
+	_, err := io.Copy(io.Discard, tr.Reader(&trickle{ctx: ctx}))
 	g.Expect(tr.End(err)).To(MatchError(context.Canceled))
 }
