--- a/internal/version/hujson/hujson.go
+++ b/internal/version/hujson/hujson.go
@@ -1,5 +1,5 @@
-// Package hujson decodes JSON with comments into typed values and reports
-// every problem with its file, line and field instead of stopping at the first.
+// Package hujson decodes JSON with comments into typed values. It reports all problems, each with its file, line
+// and field, instead of stopping at the first.
 package hujson
 
 import (
@@ -14,23 +14,23 @@
 	"github.com/tailscale/hujson"
 )
 
-// Finding is one problem of an input file.
+// Finding is one problem in an input file.
 type Finding struct {
 	File string
-	// Line counts from 1. Zero means that the place isn't known.
+	// Line counts from 1. Zero means that the line isn't known.
 	Line int
 	// Field is the path of the value, such as Services[0].VNI.
 	Field   string
 	Problem string
 }
 
-// String gives the finding in the form file:line: field: problem.
+// String returns the finding in the form file:line: field: problem.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Problem)
 }
 
-// Findings collects problems and knows on which line each field stands.
-// It is not safe for concurrent use. The zero value works.
+// Findings collects problems and finds the line of each field in the input. It isn't safe for concurrent use. The
+// zero value is ready for use.
 type Findings struct {
 	File string
 	List []Finding
@@ -38,7 +38,7 @@
 	root hujson.Value
 }
 
-// Add records a problem of the field at path.
+// Add adds a problem of the field at a path.
 func (f *Findings) Add(path, format string, args ...any) {
 	f.List = append(f.List, Finding{
 		File:    f.File,
@@ -56,10 +56,9 @@
 	return &FindingsError{List: f.List}
 }
 
-// line finds the line of the nearest enclosing value that the file has, so
-// that a missing field is reported at the object that lacks it. It walks the
-// parsed file for each finding: keeping the line of every value would cost more
-// than a large file itself.
+// line returns the line of the value at a path, or of the innermost enclosing value that the file has, so that a
+// missing field is reported at the object that lacks it. It searches the parsed file for each finding, because the
+// lines of all values would take more memory than a large file itself.
 func (f *Findings) line(path string) int {
 	offset := f.root.StartOffset
 	v := f.root
@@ -73,8 +72,7 @@
 	return 1 + bytes.Count(f.src[:min(offset, len(f.src))], []byte{'\n'})
 }
 
-// child returns a member of an object or an element of an array, and where it
-// stands.
+// child returns a member of an object or an element of an array, and its offset in the file.
 func child(v hujson.Value, step string) (hujson.Value, int, bool) {
 	switch x := v.Value.(type) {
 	case *hujson.Object:
@@ -91,12 +89,12 @@
 	return v, 0, false
 }
 
-// FindingsError reports all findings of one or more files together.
+// FindingsError is an error that contains all findings of one or more files.
 type FindingsError struct {
 	List []Finding
 }
 
-// Error lists the findings, one a line, in the order of their place.
+// Error returns the findings, one per line, sorted by line.
 func (e *FindingsError) Error() string {
 	list := append([]Finding(nil), e.List...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Line < list[j].Line })
@@ -107,8 +105,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Decode reads src into a T that starts as def. Unknown keys and values of the
-// wrong type become findings; the other fields are filled all the same.
+// Decode decodes src into a copy of def. Unknown keys and values of the wrong type become findings; the other fields
+// are set nevertheless.
 func Decode[T any](file string, src []byte, def T) (T, *Findings) {
 	f := &Findings{File: file, src: src}
 	v, err := hujson.Parse(src)
--- a/internal/version/platform/client.go
+++ b/internal/version/platform/client.go
@@ -1,6 +1,5 @@
-// Package platform speaks to the platform's object service: objects with
-// versions, conditional updates and watches over HTTP. The dialect is described
-// in docs/design/002-platform.md.
+// Package platform is a client of the platform's object service, which offers objects with versions, conditional
+// updates and watches over HTTP.
 package platform
 
 import (
@@ -19,27 +18,26 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// ObjectVersion is the version of an object in the service. Zero is none.
+// ObjectVersion is the version of an object in the service. Zero means that there is no object.
 type ObjectVersion uint64
 
-// Object is a stored value.
+// Object is a stored object.
 type Object struct {
 	Version ObjectVersion
 	Body    []byte
 }
 
-// Host is an entry of the platform's list of hosts, which lags.
+// Host is an entry of the platform's list of hosts. The list lags behind the actual state.
 type Host struct {
 	Name    string
 	Control netip.AddrPort
 	Leaving bool
 }
 
-// MaxObjectBytes is the largest value that the service holds.
+// MaxObjectBytes is the size of the largest object that the service stores.
 const MaxObjectBytes = 1 << 20
 
-// The outcomes that callers tell apart. After any other error a write may have
-// taken effect.
+// The errors that callers distinguish. After any other error, a write may have taken effect.
 var (
 	ErrNotFound = objects.ErrNotFound
 	ErrConflict = objects.ErrConflict
@@ -56,7 +54,7 @@
 	calls *objects.Client
 }
 
-// NewClient returns a client of the service at base, and its clean-up function.
+// NewClient returns a client of the service at a base URL, and its clean-up function.
 func NewClient(base string) (*Client, func()) {
 	calls, stop := objects.NewClient(base)
 	return &Client{calls: calls}, stop
@@ -67,9 +65,9 @@
 	return c.read(ctx, objects.Call{Path: objectPath(key)})
 }
 
-// Watch waits for a version of the object after the given one and returns it.
-// If none came within wait, it returns an object of the given version without a
-// body. The connection may have gone silent, so the wait is bounded here too.
+// Watch waits until the object has a later version than the given one, and returns it. If there is none within
+// wait, it returns an Object of the given version without a body. The client bounds the wait too, since the
+// connection may be dead.
 func (c *Client) Watch(ctx context.Context, key string, after ObjectVersion, wait time.Duration) (Object, error) {
 	q := url.Values{
 		"after": {strconv.FormatUint(uint64(after), 10)},
@@ -82,11 +80,11 @@
 	return o, err
 }
 
-// Put writes an object if its version is still the given one; zero means that
-// there must be none. It returns ErrConflict if the version is another.
+// Put writes an object if its version is still the given one, and returns its new version. A zero version means
+// that the object must not exist. It returns ErrConflict if the object has another version.
 func (c *Client) Put(ctx context.Context, key string, body []byte, version ObjectVersion) (ObjectVersion, error) {
 	if len(body) > MaxObjectBytes {
-		return 0, eris.Errorf("platform: %d bytes are too many for an object, at most %d", len(body), MaxObjectBytes)
+		return 0, eris.Errorf("platform: object has %d bytes, want at most %d", len(body), MaxObjectBytes)
 	}
 	h := http.Header{}
 	if version == 0 {
@@ -108,14 +106,14 @@
 	}
 }
 
-// Hosts reads the list of hosts.
+// Hosts reads the platform's list of hosts.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
 	o, err := c.read(ctx, objects.Call{Path: HostsPath})
 	if err != nil {
 		return nil, err
 	}
 	var hosts []Host
-	return hosts, eris.Wrap(json.Unmarshal(o.Body, &hosts), "platform: hosts")
+	return hosts, eris.Wrap(json.Unmarshal(o.Body, &hosts), "platform: decode list of hosts")
 }
 
 var errNotModified = eris.New("platform: not modified")
@@ -137,7 +135,7 @@
 	}
 	version, err := parseETag(a.Header)
 	if err == nil && len(a.Body) > MaxObjectBytes {
-		err = eris.New("platform: object is larger than the service holds")
+		err = eris.New("platform: object exceeds the service's size limit")
 	}
 	return Object{Version: version, Body: a.Body}, err
 }
@@ -145,7 +143,7 @@
 func objectPath(key string) string { return ObjectsPath + url.PathEscape(key) }
 
 func statusError(status int) error {
-	return eris.Errorf("platform: %d %s", status, http.StatusText(status))
+	return eris.Errorf("platform: unexpected status %d %s", status, http.StatusText(status))
 }
 
 func etag(v ObjectVersion) string {
@@ -154,5 +152,5 @@
 
 func parseETag(h http.Header) (ObjectVersion, error) {
 	v, err := strconv.ParseUint(strings.Trim(h.Get("ETag"), `"`), 10, 64)
-	return ObjectVersion(v), eris.Wrap(err, "platform: version of the object")
+	return ObjectVersion(v), eris.Wrap(err, "platform: parse ETag of the object")
 }
--- a/internal/version/platform/head.go
+++ b/internal/version/platform/head.go
@@ -9,13 +9,13 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// HeadKey is the object that holds the bundle in force.
+// HeadKey is the key of the object that holds the bundle in force.
 const HeadKey = "bundle-head"
 
 // ErrRaced is returned if another bundle was rolled first.
 var ErrRaced = eris.New("platform: another bundle was rolled first")
 
-// Head reads the bundle in force, or nil if none was rolled yet.
+// Head reads the bundle in force and its object version. It returns nil if no bundle has been rolled yet.
 func (c *Client) Head(ctx context.Context) (*bundle.Signed, ObjectVersion, error) {
 	o, err := c.Get(ctx, HeadKey)
 	if eris.Is(err, ErrNotFound) {
@@ -28,9 +28,9 @@
 	return s, o.Version, err
 }
 
-// Roll puts s in force if its version is the next one. If the answer of the
-// write was lost, it reads the head back: the operation id there tells whether
-// the write took effect, so it is never made twice or reported wrongly.
+// Roll puts s in force if its version is the next one. After an error other than ErrRaced it retries, each time after a
+// pause, until ctx ends. If the answer of a write was lost, the operation ids in the object that it then reads
+// tell whether the write took effect, so it is never made twice nor reported wrongly.
 func (c *Client) Roll(ctx context.Context, s *bundle.Signed, pause time.Duration) error {
 	for {
 		err := c.tryRoll(ctx, s)
--- a/internal/version/platform/platform_test.go
+++ b/internal/version/platform/platform_test.go
@@ -35,7 +35,7 @@
 		return &bundle.Signed{Version: v, PreparedBy: op, ApprovedBy: "approver", OperationID: op, Content: []byte("{}")}
 	}
 
-	It("writes only over the version it knows", func() {
+	It("overwrites only the given version", func() {
 		v, err := c.Put(ctx, "k", []byte("one"), 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Put(ctx, "k", []byte("two"), 0)
@@ -47,7 +47,7 @@
 		Expect(string(o.Body)).To(Equal("two"))
 	})
 
-	It("says that an object isn't there", func() {
+	It("reports that an object doesn't exist", func() {
 		_, err := c.Get(ctx, "none")
 		Expect(err).To(MatchError(platform.ErrNotFound))
 	})
@@ -67,9 +67,9 @@
 		Expect(string(o.Body)).To(Equal("two"))
 	})
 
-	// An operator is told that rolling failed, rolls again, and the same change
-	// is made twice. The write took effect but its answer was lost.
-	It("finds a write again whose answer was lost", func() {
+	// A write takes effect but its answer is lost. Guards against reporting a failure, after which the
+	// operator would roll the same change a second time.
+	It("detects that a write took effect though its answer was lost", func() {
 		service.SetFaults(standin.Faults{LoseAnswers: 1})
 		Expect(c.Roll(ctx, signed(1, "first"), time.Millisecond)).To(Succeed())
 		head, v, err := c.Head(ctx)
@@ -78,9 +78,9 @@
 		Expect(v).To(BeEquivalentTo(1), "it was written once")
 	})
 
-	// The answer of an operator's write was lost, and another operator rolled the next version
-	// before they asked again. They are told that theirs never was in force.
-	It("finds a write again though another bundle was rolled since", func() {
+	// The answer of an operator's write was lost, and another operator rolled the next version before the
+	// first one retried. Guards against reporting that the first bundle was never in force.
+	It("detects that a write took effect though another bundle has been rolled since", func() {
 		first := signed(1, "first")
 		Expect(c.Roll(ctx, first, time.Millisecond)).To(Succeed())
 		head, _, err := c.Head(ctx)
@@ -95,7 +95,7 @@
 		Expect(head.OperationID).To(Equal("second"))
 	})
 
-	It("remembers the operations of a bounded number of bundles", func() {
+	It("keeps the operation ids of a bounded number of bundles", func() {
 		var head *bundle.Signed
 		for i := range 100 {
 			head = head.Successor("preparer", fmt.Sprint(i), []byte("{}"))
@@ -107,9 +107,9 @@
 		Expect(head.Earlier).To(HaveLen(64))
 	})
 
-	// Two operators roll different bundles at the same time, and both are told
-	// that theirs is in force.
-	It("lets one of several racing operators win and tells the others who did", func() {
+	// Two operators roll different bundles at the same time. Guards against reporting to both that their
+	// bundle is in force.
+	It("puts one of several concurrent bundles in force and reports to the others whose it is", func() {
 		const operators = 8
 		errs := make([]error, operators)
 		var wg sync.WaitGroup
@@ -136,7 +136,7 @@
 		Expect(c.Roll(ctx, signed(2, "early"), time.Millisecond)).To(MatchError(platform.ErrRaced))
 	})
 
-	It("tries until the service is back", func() {
+	It("retries until the service is available again", func() {
 		service.SetFaults(standin.Faults{Down: true})
 		down, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 		defer cancel()
