--- a/internal/connection/peer/bench_test.go
+++ b/internal/connection/peer/bench_test.go
@@ -26,7 +26,7 @@
 }
 
 // BenchmarkLearn is what a daemon that starts takes to know a fleet and to make its view.
-func BenchmarkLearn(b *testing.B) {
+func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{195, 1000, 16000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			all := manyMembers(n)
@@ -50,14 +50,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			told := &peer.Catalog{Complete: true, HasRegistrations: true}
+			catalog := &peer.Catalog{Complete: true, HasRegistrations: true}
 			for i := range n {
-				told.Registrations = append(told.Registrations, registry.Registration{
+				catalog.Registrations = append(catalog.Registrations, registry.Registration{
 					ID: bundle.UpstreamID(1 + i*7919), Service: "huvo11a", Zone: "col-hall-a", Slots: 2, Born: 1765000000000,
 					Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(i >> 8), byte(i)}), 8080), Created: 1, Revision: 2,
 				})
 			}
-			body, err := c.Encode(told)
+			body, err := c.Encode(catalog)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/connection/peer/codec.go
+++ b/internal/connection/peer/codec.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.read(b)
+	return c.unmarshal(b)
 }
 
 // seal adds the authentication code.
@@ -132,7 +132,7 @@
 	return nil, ErrMAC
 }
 
-func (c *Codec[T, P]) read(b []byte) (P, error) {
+func (c *Codec[T, P]) unmarshal(b []byte) (P, error) {
 	m := P(new(T))
 	if err := c.dec.Unmarshal(b, m); err != nil {
 		return nil, eris.Wrap(err, "peer")
--- a/internal/connection/peer/contacts.go
+++ b/internal/connection/peer/contacts.go
@@ -75,14 +75,14 @@
 		}
 	}
 	for _, o := range old.Members {
-		if len(out.Members) < MaxContacts && !out.has(o.Control) {
+		if len(out.Members) < MaxContacts && !out.contains(o.Control) {
 			out.Members = append(out.Members, o)
 		}
 	}
 	return out
 }
 
-func (c *Contacts) has(at netip.AddrPort) bool {
+func (c *Contacts) contains(at netip.AddrPort) bool {
 	return slices.ContainsFunc(c.Members, func(m Contact) bool { return m.Control == at })
 }
 
@@ -98,7 +98,7 @@
 	found := make(map[bundle.Zone]bool)
 	for i := range v.Members {
 		m := &v.Members[i]
-		if m.Size == largest[m.Zone] && c.has(m.Control) {
+		if m.Size == largest[m.Zone] && c.contains(m.Control) {
 			found[m.Zone] = true
 		}
 	}
--- a/internal/connection/peer/fanout.go
+++ b/internal/connection/peer/fanout.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// starMembers is the largest zone whose reader tells each member itself: 31
+	// maxStarMembers is the largest zone whose reader tells each member itself: 31
 	// datagrams of a kilobyte twice a second are 62 KB/s, which the largest host of the
 	// users' zones carries, and the word takes one step.
-	starMembers = 32
+	maxStarMembers = 32
 	// fanOut is how many members each one tells in a larger zone, in each tree. A zone
 	// of 100 then takes three steps, one of 1,600 five, and no member sends more than
 	// sixteen datagrams for one.
@@ -42,19 +42,19 @@
 // Children returns the members that this daemon tells in a tree. In a zone of up to
 // starMembers that is everyone for the origin and nobody for the others.
 func (v *View) Children(t Tree, origin bool) []*Member {
-	zone := v.readers()
-	place := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
-	if place < 0 {
+	zone := v.zoneInReaderOrder()
+	position := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
+	if position < 0 {
 		return nil
 	}
-	if len(zone) <= starMembers {
+	if len(zone) <= maxStarMembers {
 		if !origin {
 			return nil
 		}
-		return without(zone, place)
+		return without(zone, position)
 	}
-	out := children(zone, t, placeIn(t, place, len(zone)))
-	if origin && place > 0 {
+	out := children(zone, t, treePosition(t, position, len(zone)))
+	if origin && position > 0 {
 		// It stands in for the first, and tells it too.
 		out = append(out, zone[0])
 		for _, m := range children(zone, t, 0) {
@@ -70,40 +70,40 @@
 // reader. Parents come before their children in the order of readers, on which all
 // daemons agree, so reports never go round in a circle.
 func (v *View) Parent() *Member {
-	zone := v.readers()
-	place := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
+	zone := v.zoneInReaderOrder()
+	position := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
 	switch {
-	case place <= 0:
+	case position <= 0:
 		return nil
-	case len(zone) <= starMembers:
+	case len(zone) <= maxStarMembers:
 		return zone[0]
 	}
-	return zone[(place-1)/fanOut]
+	return zone[(position-1)/fanOut]
 }
 
 // Reporters returns the members whose reports this daemon takes up: those of which it is
 // the parent.
 func (v *View) Reporters() []*Member { return v.Children(TreeForward, v.IsZoneReader()) }
 
-// placeIn turns a place in the order of readers into one in a tree, or back. The first
+// treePosition turns a place in the order of readers into one in a tree, or back. The first
 // is the root of both.
-func placeIn(t Tree, place, n int) int {
-	if t == TreeForward || place == 0 {
-		return place
+func treePosition(t Tree, position, n int) int {
+	if t == TreeForward || position == 0 {
+		return position
 	}
-	return n - place
+	return n - position
 }
 
 // children returns the members below a place in a tree.
-func children(zone []*Member, t Tree, place int) []*Member {
+func children(zone []*Member, t Tree, position int) []*Member {
 	var out []*Member
-	for i := fanOut*place + 1; i <= fanOut*place+fanOut && i < len(zone); i++ {
-		out = append(out, zone[placeIn(t, i, len(zone))])
+	for i := fanOut*position + 1; i <= fanOut*position+fanOut && i < len(zone); i++ {
+		out = append(out, zone[treePosition(t, i, len(zone))])
 	}
 	return out
 }
 
-func without(zone []*Member, place int) []*Member {
-	out := slices.Clone(zone[:place])
-	return append(out, zone[place+1:]...)
+func without(zone []*Member, position int) []*Member {
+	out := slices.Clone(zone[:position])
+	return append(out, zone[position+1:]...)
 }
--- a/internal/connection/peer/fanout_test.go
+++ b/internal/connection/peer/fanout_test.go
@@ -12,7 +12,7 @@
 
 // zoneOf returns the views of all members of a zone, in the order of readers, beside a
 // member of another zone.
-func zoneOf(n int) []*peer.View {
+func zoneViews(n int) []*peer.View {
 	members := make([]peer.Member, 0, n+1)
 	members = append(members, peer.Member{ID: peer.IDOf("elsewhere"), Name: "elsewhere", Zone: "b", Size: 800})
 	for i := range n {
@@ -28,27 +28,27 @@
 
 // spread lets the word go from one member to the others, each passing it on once, and
 // returns who heard it, how many steps that took and the most that one member sent.
-func spread(views []*peer.View, origin int, dead map[peer.ID]bool) (heard map[peer.ID]bool, steps, most int) {
+func disseminate(views []*peer.View, origin int, dead map[peer.ID]bool) (received map[peer.ID]bool, hops, most int) {
 	byID := make(map[peer.ID]*peer.View)
 	for _, v := range views {
 		byID[v.Self] = v
 	}
-	heard = map[peer.ID]bool{views[origin].Self: true}
-	for wave := []*peer.View{views[origin]}; len(wave) > 0; steps++ {
+	received = map[peer.ID]bool{views[origin].Self: true}
+	for wave := []*peer.View{views[origin]}; len(wave) > 0; hops++ {
 		var next []*peer.View
 		for _, v := range wave {
-			to := v.Recipients(steps == 0)
+			to := v.Recipients(hops == 0)
 			most = max(most, len(to))
 			for _, m := range to {
-				if !heard[m.ID] && !dead[m.ID] {
-					heard[m.ID] = true
+				if !received[m.ID] && !dead[m.ID] {
+					received[m.ID] = true
 					next = append(next, byID[m.ID])
 				}
 			}
 		}
 		wave = next
 	}
-	return heard, steps - 1, most
+	return received, hops - 1, most
 }
 
 var _ = Describe("The word of a zone's reader", func() {
@@ -56,11 +56,11 @@
 
 	It("reaches every member from any origin, in few steps, with few datagrams of each", func() {
 		for _, n := range sizes {
-			views := zoneOf(n)
+			views := zoneViews(n)
 			for _, origin := range []int{0, n / 2, n - 1} {
-				heard, steps, most := spread(views, origin, nil)
-				Expect(heard).To(HaveLen(n), "%d members, from %d", n, origin)
-				Expect(steps).To(BeNumerically("<=", 5), "%d members, from %d", n, origin)
+				received, hops, most := disseminate(views, origin, nil)
+				Expect(received).To(HaveLen(n), "%d members, from %d", n, origin)
+				Expect(hops).To(BeNumerically("<=", 5), "%d members, from %d", n, origin)
 				Expect(most).To(BeNumerically("<=", 31), "%d members, from %d", n, origin)
 			}
 		}
@@ -70,17 +70,17 @@
 	// hear nothing, and after two seconds up to 72 hosts read the store at once.
 	It("reaches all others though any one member stands still", func() {
 		for _, n := range []int{33, 41, 100} {
-			views := zoneOf(n)
+			views := zoneViews(n)
 			for i := 1; i < n; i++ {
-				heard, _, _ := spread(views, 0, map[peer.ID]bool{views[i].Self: true})
-				Expect(heard).To(HaveLen(n-1), "%d members, %d stands still", n, i)
+				received, _, _ := disseminate(views, 0, map[peer.ID]bool{views[i].Self: true})
+				Expect(received).To(HaveLen(n-1), "%d members, %d stands still", n, i)
 			}
 		}
 	})
 
 	It("isn't told by those who only heard it in a small zone, nor to themselves", func() {
 		for _, n := range sizes {
-			for _, v := range zoneOf(n) {
+			for _, v := range zoneViews(n) {
 				for _, origin := range []bool{false, true} {
 					to := v.Recipients(origin)
 					Expect(slices.ContainsFunc(to, func(m *peer.Member) bool { return m.ID == v.Self || m.Zone != "a" })).To(BeFalse())
@@ -96,7 +96,7 @@
 var _ = Describe("Reports", func() {
 	It("go up to the zone's reader without a circle, few to each member", func() {
 		for _, n := range []int{1, 2, 32, 33, 100, 1600} {
-			views := zoneOf(n)
+			views := zoneViews(n)
 			Expect(views[0].Parent()).To(BeNil())
 			place := make(map[peer.ID]int)
 			children := make(map[peer.ID]int)
--- a/internal/connection/peer/gossip.go
+++ b/internal/connection/peer/gossip.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-type rumor struct {
+type gossipUpdate struct {
 	Member
 	copies int
 }
@@ -22,48 +22,48 @@
 			return
 		}
 		m.add(u, now)
-		m.spread(u)
-		m.touch(now)
+		m.enqueueGossip(u)
+		m.markChanged(now)
 		return
 	}
 	if u.Boot != r.Boot && u.Incarnation > r.Incarnation && r.present() {
 		// The host restarted before its death was noticed: what it held is lost.
-		m.noteLost(r.Member, now)
+		m.recordLost(r.Member, now)
 	}
-	if !overrules(&u, &r.Member) {
+	if !supersedes(&u, &r.Member) {
 		return
 	}
 	if u.State == StateDead && r.present() {
-		m.noteLost(r.Member, now)
+		m.recordLost(r.Member, now)
 	}
 	if u.State == StateAlive && r.State == StateDead && u.Boot == r.Boot {
-		m.noteFound(u)
+		m.withdrawLost(u)
 	}
-	moves := holds(u.State) != holds(r.State) || u.Boot != r.Boot
+	ownersMove := ownershipState(u.State) != ownershipState(r.State) || u.Boot != r.Boot
 	if u.Boot != r.Boot || !r.present() {
-		r.fresh, r.joined = true, now
+		r.recentlyJoined, r.joinedAt = true, now
 	}
 	r.Member = u
-	r.since = now
-	m.spread(u)
+	r.stateSince = now
+	m.enqueueGossip(u)
 	m.epoch++
-	if moves {
-		m.touch(now)
+	if ownersMove {
+		m.markChanged(now)
 	}
 }
 
-// holds groups the states between which the homes of flows move: a suspicion
+// ownershipState groups the states between which the homes of flows move: a suspicion
 // that is refuted moves none.
-func holds(s State) State {
+func ownershipState(s State) State {
 	if s == StateSuspect {
 		return StateAlive
 	}
 	return s
 }
 
-// overrules reports whether u says more than what is known: a higher
+// supersedes reports whether u says more than what is known: a higher
 // incarnation, or a later state at the same one.
-func overrules(u, known *Member) bool {
+func supersedes(u, known *Member) bool {
 	if u.Incarnation != known.Incarnation {
 		return u.Incarnation > known.Incarnation
 	}
@@ -80,25 +80,25 @@
 		return
 	}
 	m.self.Incarnation = u.Incarnation + 1
-	m.spread(m.self)
+	m.enqueueGossip(m.self)
 	m.epoch++
 }
 
-func (m *Membership) noteLost(l Member, now time.Time) {
-	m.lost = append(m.lost, lostMember{Member: l, at: now})
+func (m *Membership) recordLost(l Member, now time.Time) {
+	m.lost = append(m.lost, lostMember{Member: l, lostAt: now})
 	m.epoch++
 }
 
-// noteFound takes back the loss of a member that was only out of reach.
-func (m *Membership) noteFound(u Member) {
+// withdrawLost takes back the loss of a member that was only out of reach.
+func (m *Membership) withdrawLost(u Member) {
 	m.lost = slices.DeleteFunc(m.lost, func(l lostMember) bool { return l.ID == u.ID && l.Boot == u.Boot })
 }
 
-// spread passes an update on with the next messages, in place of older ones of
+// enqueueGossip passes an update on with the next messages, in place of older ones of
 // the same member.
-func (m *Membership) spread(u Member) {
-	m.gossip = slices.DeleteFunc(m.gossip, func(r rumor) bool { return r.ID == u.ID })
-	m.gossip = append([]rumor{{Member: u, copies: m.cfg.GossipCopies}}, m.gossip...)
+func (m *Membership) enqueueGossip(u Member) {
+	m.gossip = slices.DeleteFunc(m.gossip, func(r gossipUpdate) bool { return r.ID == u.ID })
+	m.gossip = append([]gossipUpdate{{Member: u, copies: m.cfg.GossipCopies}}, m.gossip...)
 }
 
 // takeGossip returns at most n updates to pass on.
@@ -111,6 +111,6 @@
 		out = append(out, m.gossip[i].Member)
 		m.gossip[i].copies--
 	}
-	m.gossip = slices.DeleteFunc(m.gossip, func(r rumor) bool { return r.copies <= 0 })
+	m.gossip = slices.DeleteFunc(m.gossip, func(r gossipUpdate) bool { return r.copies <= 0 })
 	return out
 }
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -46,11 +46,11 @@
 	DefaultGossipCopies   = 6
 	// DefaultUpdates leaves room for the counts of flows in the same datagram.
 	DefaultUpdates = 4
-	// deadProbes is how many probe periods lie between two probes of a member
+	// deadProbePeriods is how many probe periods lie between two probes of a member
 	// that is out of reach, by which a healed network is noticed.
-	deadProbes = 8
-	// forgetAfter is when a member out of reach is no longer probed.
-	forgetAfter = 24 * time.Hour
+	deadProbePeriods = 8
+	// forgetDeadAfter is when a member out of reach is no longer probed.
+	forgetDeadAfter = 24 * time.Hour
 )
 
 func (c Config) withDefaults() Config {
@@ -92,37 +92,37 @@
 	self   Member
 	bundle bundle.Version
 	flows  []uint32
-	peers  map[ID]*record
-	// order holds the keys of peers, sorted, so that the same events and the same
+	peers  map[ID]*peerState
+	// sortedIDs holds the keys of peers, sorted, so that the same events and the same
 	// seed give the same messages. It is replaced, never changed in place.
-	order  []ID
-	lost   []lostMember
-	gossip []rumor
-	probe  probe
-	relays map[uint32]relay
-	seq    uint32
-	ticks  uint64
-	// changed is when the set of members last changed; zero if never.
-	changed time.Time
-	// unsettled is set for the lost window after such a change.
-	unsettled bool
-	nextProbe time.Time
-	epoch     uint64
-	// serving is set once a member has told that it has a bundle in force.
-	serving bool
+	sortedIDs []ID
+	lost      []lostMember
+	gossip    []gossipUpdate
+	probe     probe
+	relays    map[uint32]relay
+	seq       uint32
+	ticks     uint64
+	// changedAt is when the set of members last changedAt; zero if never.
+	changedAt time.Time
+	// repeatsPossible is set for the lost window after such a change.
+	repeatsPossible bool
+	nextProbe       time.Time
+	epoch           uint64
+	// servingSeen is set once a member has told that it has a bundle in force.
+	servingSeen bool
 }
 
-type record struct {
+type peerState struct {
 	Member
-	since time.Time
-	// fresh is set for the recent window after the member joined or restarted.
-	fresh  bool
-	joined time.Time
+	stateSince time.Time
+	// recentlyJoined is set for the recent window after the member joined or restarted.
+	recentlyJoined bool
+	joinedAt       time.Time
 }
 
 type lostMember struct {
 	Member
-	at time.Time
+	lostAt time.Time
 }
 
 // NewMembership returns a membership of which self is the only member.
@@ -132,7 +132,7 @@
 		cfg:    cfg.withDefaults(),
 		rng:    rng,
 		self:   self,
-		peers:  make(map[ID]*record),
+		peers:  make(map[ID]*peerState),
 		relays: make(map[uint32]relay),
 		seq:    rng.Uint32(),
 		epoch:  1,
@@ -182,9 +182,9 @@
 }
 
 func (m *Membership) announce(now time.Time) []Envelope {
-	m.touch(now)
+	m.markChanged(now)
 	out := make([]Envelope, 0, len(m.peers))
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if r := m.peers[id]; r.present() {
 			out = append(out, m.ping(r.Control))
 		}
@@ -194,7 +194,7 @@
 
 // Tick lets time pass and returns what is to be sent.
 func (m *Membership) Tick(now time.Time) []Envelope {
-	out := m.follow(now)
+	out := m.continueProbe(now)
 	m.expire(now)
 	if now.Before(m.nextProbe) {
 		return out
@@ -204,7 +204,7 @@
 	if m.probe.target == 0 {
 		out = append(out, m.startProbe(now)...)
 	}
-	if m.ticks%deadProbes == 0 {
+	if m.ticks%deadProbePeriods == 0 {
 		out = append(out, m.probeDead()...)
 	}
 	return out
@@ -212,15 +212,15 @@
 
 // expire turns suspicion into death and forgets what is long past.
 func (m *Membership) expire(now time.Time) {
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		r := m.peers[id]
-		age := now.Sub(r.since)
+		age := now.Sub(r.stateSince)
 		switch {
 		case r.State == StateSuspect && age >= m.cfg.SuspectTimeout:
 			dead := r.Member
 			dead.State = StateDead
 			m.apply(dead, now)
-		case r.State == StateLeft && age >= m.cfg.LostWindow, r.State == StateDead && age >= forgetAfter:
+		case r.State == StateLeft && age >= m.cfg.LostWindow, r.State == StateDead && age >= forgetDeadAfter:
 			m.forget(id)
 		}
 	}
@@ -230,22 +230,22 @@
 		}
 	}
 	for _, r := range m.peers {
-		if r.fresh && now.Sub(r.joined) >= m.cfg.RecentWindow {
-			r.fresh = false
+		if r.recentlyJoined && now.Sub(r.joinedAt) >= m.cfg.RecentWindow {
+			r.recentlyJoined = false
 			m.epoch++
 		}
 	}
 	n := len(m.lost)
-	m.lost = slices.DeleteFunc(m.lost, func(l lostMember) bool { return now.Sub(l.at) >= m.cfg.LostWindow })
+	m.lost = slices.DeleteFunc(m.lost, func(l lostMember) bool { return now.Sub(l.lostAt) >= m.cfg.LostWindow })
 	if len(m.lost) != n {
 		m.epoch++
 	}
-	if m.unsettled && now.Sub(m.changed) >= m.cfg.LostWindow {
-		m.unsettled = false
+	if m.repeatsPossible && now.Sub(m.changedAt) >= m.cfg.LostWindow {
+		m.repeatsPossible = false
 		m.epoch++
 	}
-	if !m.changed.IsZero() && now.Sub(m.changed) >= m.cfg.RecentWindow {
-		m.changed = time.Time{}
+	if !m.changedAt.IsZero() && now.Sub(m.changedAt) >= m.cfg.RecentWindow {
+		m.changedAt = time.Time{}
 		m.epoch++
 	}
 }
@@ -255,39 +255,39 @@
 	if msg.From.ID == m.self.ID {
 		return nil
 	}
-	m.serving = m.serving || msg.Bundle != 0
+	m.servingSeen = m.servingSeen || msg.Bundle != 0
 	m.apply(msg.From, now)
 	for i := range msg.Updates {
 		m.apply(msg.Updates[i], now)
 	}
 	var out []Envelope
-	if old := m.peers[msg.From.ID]; old != nil && outdated(old, &msg.From) {
+	if old := m.peers[msg.From.ID]; old != nil && needsRefutation(old, &msg.From) {
 		// The sender doesn't know what it is taken for: tell it, so that it can refute
 		// with a higher incarnation.
-		m.spread(old.Member)
+		m.enqueueGossip(old.Member)
 	}
 	switch msg.Kind {
 	case KindPing:
-		out = append(out, m.answer(from, msg, now))
+		out = append(out, m.acknowledge(from, msg, now))
 	case KindPingRequest:
 		e := m.ping(msg.Target)
 		m.relays[e.Message.Seq] = relay{to: from, seq: msg.Seq, at: now}
 		out = append(out, e)
 	case KindAck:
-		out = append(out, m.acknowledged(msg)...)
+		out = append(out, m.handleAck(msg)...)
 	}
 	return out
 }
 
-// outdated reports whether what is known of a member is wrong though its incarnation
+// needsRefutation reports whether what is known of a member is wrong though its incarnation
 // is not lower than the one that the member gives itself: it is taken for dead, or for
 // an earlier run of its process. The latter comes of a time of day that jumped back
 // before the restart; a leaving member that was killed would be leaving for good.
-func outdated(known *record, says *Member) bool {
-	if known.Incarnation < says.Incarnation {
+func needsRefutation(known *peerState, claimed *Member) bool {
+	if known.Incarnation < claimed.Incarnation {
 		return false
 	}
-	return !known.present() || known.Boot != says.Boot
+	return !known.present() || known.Boot != claimed.Boot
 }
 
 // Merge takes in members that another daemon knows. Those that are new here aren't passed on:
@@ -307,13 +307,13 @@
 		}
 	}
 	if added {
-		m.reorder()
-		m.touch(now)
+		m.sortIDs()
+		m.markChanged(now)
 	}
 }
 
 // ServingMemberSeen reports whether a member that has a bundle in force was heard.
-func (m *Membership) ServingMemberSeen() bool { return m.serving }
+func (m *Membership) ServingMemberSeen() bool { return m.servingSeen }
 
 // PingAddress pings a daemon that may not be a member yet, so that it knows of this one.
 func (m *Membership) PingAddress(at netip.AddrPort) []Envelope { return []Envelope{m.ping(at)} }
@@ -321,12 +321,12 @@
 // BootstrapMembers returns the members that a newcomer of a zone is told of first: those who read
 // the store before others in its zone, and the first of the whole system. By them it finds who
 // can tell it the rest.
-func (m *Membership) BootstrapMembers(zone bundle.Zone, newcomer ID) []Member {
+func (m *Membership) BootstrapMembers(zone bundle.Zone, joining ID) []Member {
 	var own []*Member
 	var first *Member
-	for _, o := range m.present() {
+	for _, o := range m.presentMembers() {
 		switch {
-		case o.ID == newcomer:
+		case o.ID == joining:
 		case o.Zone == zone:
 			own = append(own, o)
 		case first == nil || compareReaders(o, first) < 0:
@@ -335,7 +335,7 @@
 	}
 	slices.SortFunc(own, compareReaders)
 	var out []Member
-	for _, o := range own[:min(len(own), maxIntroduced)] {
+	for _, o := range own[:min(len(own), maxBootstrapMembers)] {
 		out = append(out, *o)
 	}
 	if first != nil {
@@ -344,10 +344,10 @@
 	return out
 }
 
-// present returns the members that are there, this daemon first.
-func (m *Membership) present() []*Member {
+// presentMembers returns the members that are there, this daemon first.
+func (m *Membership) presentMembers() []*Member {
 	out := []*Member{&m.self}
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if r := m.peers[id]; r.present() {
 			out = append(out, &r.Member)
 		}
@@ -356,17 +356,17 @@
 }
 
 const (
-	// maxIntroduced is how many members of a newcomer's zone it is told of: two may be starting
+	// maxBootstrapMembers is how many members of a newcomer's zone it is told of: two may be starting
 	// or gone.
-	maxIntroduced = 3
-	// introduceFor is how long after a member joined it is told of these with each answer. While
+	maxBootstrapMembers = 3
+	// bootstrapWindow is how long after a member joined it is told of these with each answer. While
 	// a whole system starts, the largest may come after the first answers.
-	introduceFor = 3 * time.Second
+	bootstrapWindow = 3 * time.Second
 )
 
 // Members returns all members that are there, this daemon first.
 func (m *Membership) Members() []Member {
-	list := m.present()
+	list := m.presentMembers()
 	out := make([]Member, 0, len(list))
 	for _, o := range list {
 		out = append(out, *o)
@@ -386,16 +386,16 @@
 	return sum
 }
 
-func (m *Membership) touch(now time.Time) {
-	m.changed = now
-	m.unsettled = true
+func (m *Membership) markChanged(now time.Time) {
+	m.changedAt = now
+	m.repeatsPossible = true
 	m.epoch++
 }
 
-// answer acknowledges a ping. One that joined lately is told who can tell it more.
-func (m *Membership) answer(to netip.AddrPort, ping *Message, now time.Time) Envelope {
+// acknowledge acknowledges a ping. One that joined lately is told who can tell it more.
+func (m *Membership) acknowledge(to netip.AddrPort, ping *Message, now time.Time) Envelope {
 	var known []Member
-	if r := m.peers[ping.From.ID]; r != nil && now.Sub(r.joined) < introduceFor {
+	if r := m.peers[ping.From.ID]; r != nil && now.Sub(r.joinedAt) < bootstrapWindow {
 		known = m.BootstrapMembers(r.Zone, r.ID)
 		known = known[:min(len(known), m.cfg.Updates)]
 	}
@@ -421,22 +421,22 @@
 	return Envelope{To: to, Message: msg}
 }
 
-func newRecord(u Member, now time.Time) *record {
-	return &record{Member: u, since: now, fresh: true, joined: now}
+func newRecord(u Member, now time.Time) *peerState {
+	return &peerState{Member: u, stateSince: now, recentlyJoined: true, joinedAt: now}
 }
 
 func (m *Membership) add(u Member, now time.Time) {
 	m.peers[u.ID] = newRecord(u, now)
-	m.reorder()
+	m.sortIDs()
 }
 
 func (m *Membership) forget(id ID) {
 	delete(m.peers, id)
-	m.reorder()
+	m.sortIDs()
 }
 
-func (m *Membership) reorder() {
-	m.order = slices.Sorted(maps.Keys(m.peers))
+func (m *Membership) sortIDs() {
+	m.sortedIDs = slices.Sorted(maps.Keys(m.peers))
 }
 
 // present reports whether the member is there, as far as is known.
--- a/internal/connection/peer/probe.go
+++ b/internal/connection/peer/probe.go
@@ -21,9 +21,9 @@
 	at  time.Time
 }
 
-// follow goes on with the probe in progress: after one timeout it asks helpers,
+// continueProbe goes on with the probe in progress: after one timeout it asks helpers,
 // after the next it suspects the member.
-func (m *Membership) follow(now time.Time) []Envelope {
+func (m *Membership) continueProbe(now time.Time) []Envelope {
 	if m.probe.target == 0 || now.Sub(m.probe.at) < m.cfg.ProbeTimeout {
 		return nil
 	}
@@ -35,7 +35,7 @@
 	if !m.probe.indirect {
 		m.probe.indirect = true
 		m.probe.at = now
-		return m.askHelpers(r)
+		return m.requestIndirectProbes(r)
 	}
 	m.probe = probe{}
 	if r.State == StateAlive || r.State == StateLeaving {
@@ -46,9 +46,9 @@
 	return nil
 }
 
-func (m *Membership) askHelpers(target *record) []Envelope {
+func (m *Membership) requestIndirectProbes(target *peerState) []Envelope {
 	var out []Envelope
-	ids := slices.Clone(m.order)
+	ids := slices.Clone(m.sortedIDs)
 	m.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids {
 		r := m.peers[id]
@@ -74,7 +74,7 @@
 // a dead member would now and then be probed by nobody for a second.
 func (m *Membership) startProbe(now time.Time) []Envelope {
 	ring := []ID{m.self.ID}
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if m.peers[id].present() {
 			ring = append(ring, id)
 		}
@@ -85,8 +85,8 @@
 	slices.Sort(ring)
 	round := uint64(now.UnixNano()) / uint64(m.cfg.ProbePeriod)
 	distance := 1 + round%uint64(len(ring)-1)
-	place := uint64(slices.Index(ring, m.self.ID))
-	target := ring[(place+distance)%uint64(len(ring))]
+	position := uint64(slices.Index(ring, m.self.ID))
+	target := ring[(position+distance)%uint64(len(ring))]
 	e := m.ping(m.peers[target].Control)
 	m.probe = probe{target: target, seq: e.Message.Seq, at: now}
 	return []Envelope{e}
@@ -96,7 +96,7 @@
 // find each other again without the platform.
 func (m *Membership) probeDead() []Envelope {
 	var dead []ID
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if m.peers[id].State == StateDead {
 			dead = append(dead, id)
 		}
@@ -107,7 +107,7 @@
 	return []Envelope{m.ping(m.peers[dead[m.rng.IntN(len(dead))]].Control)}
 }
 
-func (m *Membership) acknowledged(msg *Message) []Envelope {
+func (m *Membership) handleAck(msg *Message) []Envelope {
 	if msg.Seq == m.probe.seq {
 		m.probe = probe{}
 	}
--- a/internal/connection/peer/reader.go
+++ b/internal/connection/peer/reader.go
@@ -57,30 +57,30 @@
 
 // ZoneMembers returns the other members of this daemon's zone, first readers first.
 func (v *View) ZoneMembers() []*Member {
-	zone := v.readers()
-	place := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
-	if place < 0 {
+	zone := v.zoneInReaderOrder()
+	position := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
+	if position < 0 {
 		return nil
 	}
-	return without(zone, place)
+	return without(zone, position)
 }
 
-// readers returns all members of this daemon's zone, first readers first. It is nil if
+// zoneInReaderOrder returns all members of this daemon's zone, first zoneInReaderOrder first. It is nil if
 // the daemon itself isn't a member.
-func (v *View) readers() []*Member {
-	v.zoneOnce.Do(func() {
+func (v *View) zoneInReaderOrder() []*Member {
+	v.ownZoneOnce.Do(func() {
 		self := v.byID[v.Self]
 		if self == nil {
 			return
 		}
 		for i := range v.Members {
 			if m := &v.Members[i]; m.Zone == self.Zone {
-				v.zone = append(v.zone, m)
+				v.ownZone = append(v.ownZone, m)
 			}
 		}
-		slices.SortFunc(v.zone, compareReaders)
+		slices.SortFunc(v.ownZone, compareReaders)
 	})
-	return v.zone
+	return v.ownZone
 }
 
 // OtherZoneReaders returns the first reader of each other zone.
@@ -108,7 +108,7 @@
 func (v *View) CatalogSources() []*Member {
 	own, others := v.ZoneMembers(), v.OtherZoneReaders()
 	var out []*Member
-	for i := range maxTellers / 2 {
+	for i := range maxCatalogSources / 2 {
 		if i < len(own) {
 			out = append(out, own[i])
 		}
@@ -119,18 +119,18 @@
 	return out
 }
 
-// maxTellers is how many members are asked in turn.
-const maxTellers = 4
+// maxCatalogSources is how many members are asked in turn.
+const maxCatalogSources = 4
 
 func compareReaders(a, b *Member) int {
 	return cmp.Or(
-		cmp.Compare(stays(b), stays(a)),
+		cmp.Compare(stayRank(b), stayRank(a)),
 		cmp.Compare(b.Size, a.Size),
 		cmp.Compare(a.ID, b.ID),
 	)
 }
 
-func stays(m *Member) int {
+func stayRank(m *Member) int {
 	if m.State == StateLeaving {
 		return 0
 	}
@@ -144,12 +144,12 @@
 // store is silent all the same, so each of these ends in the same take-over. It
 // isn't safe for concurrent use.
 type ReaderElection struct {
-	reads bool
-	// heard is as of when others told the store's content, better as of when those
+	reading bool
+	// lastReceived is as of when others told the store's content, lastFromHigherRank as of when those
 	// before this daemon in rank did.
-	heard, better time.Time
-	// lost is when a daemon that reads was last known to live and to have no answer from the store.
-	lost time.Time
+	lastReceived, lastFromHigherRank time.Time
+	// storeLostAt is when a daemon that reads was last known to live and to have no answer from the store.
+	storeLostAt time.Time
 }
 
 // Times of the take-over. With a watch of 800 ms, news every 500 ms and a hop by the
@@ -161,51 +161,53 @@
 	takeOverStep  = 200 * time.Millisecond
 	// takeOverSteps bounds the delay: who is further back starts with the fourth.
 	takeOverSteps = 3
-	// lostStep lies between one rank and the next beyond takeOverSteps if those before say that the
+	// storeLostStep lies between one rank and the next beyond takeOverSteps if those before say that the
 	// store doesn't answer: it won't answer this one either, unless it turns just those away. Without it
 	// a store that refuses calls is asked by every daemon. lostRanks bounds the wait,
 	// should the store serve only who is far back.
-	lostStep  = time.Second
-	lostRanks = 8
-	// lostFor is how long such a word counts: two periods of the reports that carry it, and the
+	storeLostStep  = time.Second
+	storeLostRanks = 8
+	// storeLostWindow is how long such a word counts: two periods of the reports that carry it, and the
 	// way.
-	lostFor = 1200 * time.Millisecond
-	// freshFor is how old the word of a better reader may be for this one to stop.
-	freshFor = 1500 * time.Millisecond
+	storeLostWindow = 1200 * time.Millisecond
+	// maxFreshAge is how old the word of a better reader may be for this one to stop.
+	maxFreshAge = 1500 * time.Millisecond
 )
 
 // Received notes that another daemon told the store's content as of a time. before
 // says that it stands before this one in rank.
-func (r *ReaderElection) Received(asOf time.Time, before bool) {
-	if asOf.After(r.heard) {
-		r.heard = asOf
+func (r *ReaderElection) Received(asOf time.Time, higherRank bool) {
+	if asOf.After(r.lastReceived) {
+		r.lastReceived = asOf
 	}
-	if before && asOf.After(r.better) {
-		r.better = asOf
+	if higherRank && asOf.After(r.lastFromHigherRank) {
+		r.lastFromHigherRank = asOf
 	}
 }
 
 // ReportStoreLost notes that a daemon which reads lives and has no answer from the store.
-func (r *ReaderElection) ReportStoreLost(at time.Time) { r.lost = at }
+func (r *ReaderElection) ReportStoreLost(at time.Time) { r.storeLostAt = at }
 
 // StoreReportedLost reports whether that was told lately.
-func (r *ReaderElection) StoreReportedLost(now time.Time) bool { return now.Sub(r.lost) <= lostFor }
+func (r *ReaderElection) StoreReportedLost(now time.Time) bool {
+	return now.Sub(r.storeLostAt) <= storeLostWindow
+}
 
 // ShouldRead reports whether this daemon, which stands at a rank, reads the store now.
 func (r *ReaderElection) ShouldRead(rank int, now time.Time) bool {
 	switch {
 	case rank == 0:
-		r.reads = true
-	case r.reads:
-		r.reads = now.Sub(r.better) > freshFor
+		r.reading = true
+	case r.reading:
+		r.reading = now.Sub(r.lastFromHigherRank) > maxFreshAge
 	default:
 		wait := takeOverAfter + time.Duration(min(rank, takeOverSteps))*takeOverStep
 		if r.StoreReportedLost(now) {
-			wait += time.Duration(min(max(0, rank-takeOverSteps), lostRanks)) * lostStep
+			wait += time.Duration(min(max(0, rank-takeOverSteps), storeLostRanks)) * storeLostStep
 		}
-		r.reads = now.Sub(r.heard) > wait
+		r.reading = now.Sub(r.lastReceived) > wait
 	}
-	return r.reads
+	return r.reading
 }
 
 // Pauses after calls of the store that failed.
@@ -226,13 +228,13 @@
 
 // RetryPause returns how long a daemon at a rank waits after so many failed calls in a
 // row. It is spread by a factor of 0.5 to 1.5, of which part, 0 to 1, says how much.
-func RetryPause(rank, failures int, part float64) time.Duration {
+func RetryPause(rank, failures int, jitter float64) time.Duration {
 	longest := maxRetry * time.Duration(retryRanks+min(rank, maxRetryRank)) / retryRanks
 	pause := longest
 	if failures < maxDoublings {
 		pause = min(longest, minRetry<<failures)
 	}
-	return time.Duration((0.5 + part) * float64(pause))
+	return time.Duration((0.5 + jitter) * float64(pause))
 }
 
 // maxDoublings is when the pause of any rank is its longest.
--- a/internal/connection/peer/reader_test.go
+++ b/internal/connection/peer/reader_test.go
@@ -52,13 +52,13 @@
 	// to what the store is short of. The first few say that they live and get no answer.
 	It("is taken over by few while the first say that the store doesn't answer", func() {
 		const zone, outage = 43, 6500 * time.Millisecond
-		reading := func(told bool) int {
+		readers := func(reported bool) int {
 			n := 0
 			for rank := 1; rank < zone; rank++ {
 				var r peer.ReaderElection
 				r.Received(now, true)
 				for at := now; at.Before(now.Add(outage)); at = at.Add(100 * time.Millisecond) {
-					if told && at.Sub(now) > time.Second {
+					if reported && at.Sub(now) > time.Second {
 						r.ReportStoreLost(at)
 					}
 					if r.ShouldRead(rank, at) {
@@ -69,8 +69,8 @@
 			}
 			return n
 		}
-		Expect(reading(false)).To(Equal(42))
-		Expect(reading(true)).To(Equal(6))
+		Expect(readers(false)).To(Equal(42))
+		Expect(readers(true)).To(Equal(6))
 	})
 
 	// The store serves only daemons that are far back, and turns those before them away for good.
@@ -169,12 +169,12 @@
 
 var _ = Describe("A daemon that joins", func() {
 	It("knows at once whom another knows", func() {
-		known := newGroup("known")
+		known := newMembership("known")
 		for i := range 70 {
-			m := newGroup(string(rune('A' + i))).Self()
+			m := newMembership(string(rune('A' + i))).Self()
 			known.Merge(time.Unix(1, 0), []peer.Member{m})
 		}
-		joining := newGroup("joining")
+		joining := newMembership("joining")
 		Expect(joining.Digest()).NotTo(Equal(known.Digest()))
 		joining.Merge(time.Unix(2, 0), known.Members())
 		Expect(joining.View().Members).To(HaveLen(72))
@@ -183,7 +183,7 @@
 	})
 })
 
-func newGroup(name string) *peer.Membership {
+func newMembership(name string) *peer.Membership {
 	at := netip.MustParseAddrPort("127.0.0.1:1")
 	return peer.NewMembership(peer.Config{}, peer.Member{
 		ID: peer.IDOf(name), Name: name, Zone: "a", Data: at, Control: at, RPC: at, Incarnation: 1,
--- a/internal/connection/peer/replay.go
+++ b/internal/connection/peer/replay.go
@@ -28,8 +28,8 @@
 	seen    [replayWindow / 64]uint64
 }
 
-// fresh reports whether a number is new, and notes it.
-func (w *window) fresh(n uint64) bool {
+// accept reports whether a number is new, and notes it.
+func (w *window) accept(n uint64) bool {
 	switch {
 	case n > w.highest:
 		w.advance(n)
@@ -60,12 +60,12 @@
 type SequencedCodec[T any, P checked[T]] struct {
 	*Codec[T, P]
 	// run tells one start of the sender from the next.
-	run  uint64
-	last atomic.Uint64
+	run        uint64
+	lastNumber atomic.Uint64
 
 	// mu guards what follows. It is a leaf.
-	mu   sync.Mutex
-	from map[uint64]*window
+	mu      sync.Mutex
+	windows map[uint64]*window
 }
 
 // numberBytes are those of a run and a number, big-endian, before the authentication code.
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	c.SetKeys(keys)
-	return &SequencedCodec[T, P]{Codec: c, run: rand.Uint64(), from: make(map[uint64]*window)}, nil
+	return &SequencedCodec[T, P]{Codec: c, run: rand.Uint64(), windows: make(map[uint64]*window)}, nil
 }
 
 // Encode writes a message with the next number.
@@ -88,7 +88,7 @@
 		return nil, eris.Wrap(err, "peer")
 	}
 	b = binary.BigEndian.AppendUint64(b, c.run)
-	b = binary.BigEndian.AppendUint64(b, c.last.Add(1))
+	b = binary.BigEndian.AppendUint64(b, c.lastNumber.Add(1))
 	return c.seal(b), nil
 }
 
@@ -102,22 +102,22 @@
 	if n < 0 {
 		return nil, ErrMessage
 	}
-	if !c.fresh(binary.BigEndian.Uint64(b[n:]), binary.BigEndian.Uint64(b[n+8:])) {
+	if !c.accept(binary.BigEndian.Uint64(b[n:]), binary.BigEndian.Uint64(b[n+8:])) {
 		return nil, ErrReplayed
 	}
-	return c.read(b[:n])
+	return c.unmarshal(b[:n])
 }
 
-func (c *SequencedCodec[T, P]) fresh(run, number uint64) bool {
+func (c *SequencedCodec[T, P]) accept(run, number uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.from[run]
+	w := c.windows[run]
 	if w == nil {
-		if len(c.from) >= maxSenders {
-			clear(c.from) // Only members get here; runs of long ago are most of them.
+		if len(c.windows) >= maxSenders {
+			clear(c.windows) // Only members get here; runs of long ago are most of them.
 		}
 		w = &window{}
-		c.from[run] = w
+		c.windows[run] = w
 	}
-	return w.fresh(number)
+	return w.accept(number)
 }
--- a/internal/connection/peer/replay_test.go
+++ b/internal/connection/peer/replay_test.go
@@ -8,7 +8,7 @@
 	"github.com/fescueshed/fescueshed/internal/connection/peer"
 )
 
-func numbered(k peer.Keys) *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement] {
+func sequenced(k peer.Keys) *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement] {
 	GinkgoHelper()
 	c, err := peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement)
 	Expect(err).NotTo(HaveOccurred())
@@ -29,7 +29,7 @@
 	// again after that daemon has died. Members think that the reader lives, nobody reads the
 	// store, and an old bundle stays in force.
 	It("is refused if it comes a second time", func() {
-		from, to := numbered(first), numbered(first)
+		from, to := sequenced(first), sequenced(first)
 		b := sealed(from)
 		_, err := to.Decode(b)
 		Expect(err).NotTo(HaveOccurred())
@@ -40,7 +40,7 @@
 	})
 
 	It("is refused if it is much older than the last one", func() {
-		from, to := numbered(first), numbered(first)
+		from, to := sequenced(first), sequenced(first)
 		old := sealed(from)
 		for range 1100 {
 			sealed(from)
@@ -54,7 +54,7 @@
 	// Datagrams pass each other on the way. The earlier one is no replay.
 	It("is taken once in any order, as by one that remembers all numbers", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			from, to := numbered(first), numbered(first)
+			from, to := sequenced(first), sequenced(first)
 			var sent [][]byte
 			taken := make(map[int]bool)
 			for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -73,7 +73,7 @@
 	})
 
 	It("is taken late, though one of its place in the window came long before", func() {
-		from, to := numbered(first), numbered(first)
+		from, to := sequenced(first), sequenced(first)
 		var late []byte
 		for i := range 1100 {
 			b := sealed(from)
@@ -89,9 +89,9 @@
 	})
 
 	It("of a daemon that started again isn't taken for one of before", func() {
-		to := numbered(first)
+		to := sequenced(first)
 		for range 3 {
-			_, err := to.Decode(sealed(numbered(first)))
+			_, err := to.Decode(sealed(sequenced(first)))
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
@@ -99,10 +99,10 @@
 	// Somebody who knows the protocol but not the secret writes news of their own, or changes
 	// a bit of a daemon's.
 	It("by a forger is refused", func() {
-		to := numbered(first)
-		_, err := to.Decode(sealed(numbered(second)))
+		to := sequenced(first)
+		_, err := to.Decode(sealed(sequenced(second)))
 		Expect(err).To(MatchError(peer.ErrMAC))
-		b := sealed(numbered(first))
+		b := sealed(sequenced(first))
 		for i := range b {
 			forged := append([]byte(nil), b...)
 			forged[i] ^= 1
@@ -126,16 +126,16 @@
 		}
 		for i := range steps {
 			for _, j := range []int{max(0, i-1), i, min(len(steps)-1, i+1)} {
-				_, err := numbered(steps[j]).Decode(sealed(numbered(steps[i])))
+				_, err := sequenced(steps[j]).Decode(sealed(sequenced(steps[i])))
 				Expect(err).NotTo(HaveOccurred(), "from step %d to %d", i, j)
 			}
 		}
-		_, err := numbered(steps[3]).Decode(sealed(numbered(steps[1])))
+		_, err := sequenced(steps[3]).Decode(sealed(sequenced(steps[1])))
 		Expect(err).To(MatchError(peer.ErrMAC), "the old secret is worth nothing any more")
 	})
 
 	It("is read by a running daemon whose secrets change", func() {
-		from, to := numbered(first), numbered(first)
+		from, to := sequenced(first), sequenced(first)
 		to.SetKeys(peer.Keys{Seal: first.Seal, Accept: [][]byte{second.Seal}})
 		from.SetKeys(peer.Keys{Seal: second.Seal, Accept: [][]byte{first.Seal}})
 		_, err := to.Decode(sealed(from))
--- a/internal/connection/peer/snapshot.go
+++ b/internal/connection/peer/snapshot.go
@@ -11,7 +11,7 @@
 	members := m.Members()
 	zones := make(map[bundle.Zone]bool)
 	zones[m.self.Zone] = true
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		r := m.peers[id]
 		zones[r.Zone] = zones[r.Zone] || r.present()
 	}
@@ -19,12 +19,12 @@
 }
 
 func (m *Membership) changes(reached map[bundle.Zone]bool) Changes {
-	c := Changes{RecentlyChanged: !m.changed.IsZero(), RepeatsPossible: m.unsettled}
+	c := Changes{RecentlyChanged: !m.changedAt.IsZero(), RepeatsPossible: m.repeatsPossible}
 	for _, l := range m.lost {
 		c.Lost = append(c.Lost, l.Member)
 	}
-	for _, id := range m.order {
-		if m.peers[id].fresh {
+	for _, id := range m.sortedIDs {
+		if m.peers[id].recentlyJoined {
 			c.RecentlyJoined = append(c.RecentlyJoined, id)
 		}
 	}
@@ -34,7 +34,7 @@
 		}
 	}
 	slices.Sort(c.UnreachableZones)
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if r := m.peers[id]; r.State == StateDead && !reached[r.Zone] {
 			c.UnreachableMembers = append(c.UnreachableMembers, r.Member)
 		}
--- a/internal/connection/peer/start.go
+++ b/internal/connection/peer/start.go
@@ -24,80 +24,80 @@
 }
 
 const (
-	// meetAfter is how long a daemon gives the seeds to show that the system runs. One with a
+	// seedTimeout is how long a daemon gives the seeds to show that the system runs. One with a
 	// sixteenth of a core has their answers after 12 ms. If there is none, all hosts may be
 	// coming back from a loss of power, and callers will ask each of them at any moment.
-	meetAfter = 20 * time.Millisecond
-	// settleAfter is when, at the first start, the daemon that stands first in rank reads. The
+	seedTimeout = 20 * time.Millisecond
+	// firstRankReadsAfter is when, at the first start, the daemon that stands first in rank reads. The
 	// users' hosts start within 300 ms of each other; before that some take themselves for the
 	// first, and each of them would call the store. Nobody waits for it.
-	settleAfter = time.Second
-	// aloneAfter is when one reads that no seed has answered at the first start: it has asked
+	firstRankReadsAfter = time.Second
+	// aloneReadsAfter is when one reads that no seed has answered at the first start: it has asked
 	// four times.
-	aloneAfter = 1200 * time.Millisecond
-	// toldAfter is when one reads that knows others and wasn't told. The first in rank has read
+	aloneReadsAfter = 1200 * time.Millisecond
+	// catalogTimeout is when one reads that knows others and wasn't told. The first in rank has read
 	// the store by then and told its zone in one step or two.
-	toldAfter = 2500 * time.Millisecond
-	// toldStep lies between one rank and the next, so that few read at once and the later ones
+	catalogTimeout = 2500 * time.Millisecond
+	// catalogTimeoutStep lies between one rank and the next, so that few read at once and the later ones
 	// hear of it from the earlier ones. toldRanks bounds the wait: the users' callers come 10 s
 	// after the hosts.
-	toldStep  = 50 * time.Millisecond
-	toldRanks = 60
+	catalogTimeoutStep  = 50 * time.Millisecond
+	catalogTimeoutRanks = 60
 )
 
 // ShouldRead reports whether the daemon reads the store now.
 func (s Startup) ShouldRead(n StartupState, now time.Time) bool {
-	passed := now.Sub(s.StartedAt)
+	elapsed := now.Sub(s.StartedAt)
 	switch {
 	case n.CallersWaiting:
 		return true
 	case !s.FirstStart && !n.ServingMemberSeen:
-		return passed >= meetAfter
+		return elapsed >= seedTimeout
 	case n.Others == 0:
-		return passed >= aloneAfter
+		return elapsed >= aloneReadsAfter
 	case n.Rank == 0:
-		return passed >= settleAfter
+		return elapsed >= firstRankReadsAfter
 	}
-	return passed >= toldAfter+time.Duration(min(n.Rank, toldRanks))*toldStep
+	return elapsed >= catalogTimeout+time.Duration(min(n.Rank, catalogTimeoutRanks))*catalogTimeoutStep
 }
 
 // RequestDelay returns how long a daemon waits before it asks the next member, of which part, 0 to 1,
 // says how much.
-func (s Startup) RequestDelay(part float64) time.Duration {
-	pause := askPause
+func (s Startup) RequestDelay(jitter float64) time.Duration {
+	delay := requestDelay
 	if s.FirstStart {
-		pause = firstAskPause
+		delay = firstStartRequestDelay
 	}
-	return time.Duration((0.5 + part) * float64(pause))
+	return time.Duration((0.5 + jitter) * float64(delay))
 }
 
 const (
-	// askPause is the mean of these times: a member that starts too is ready some 100 ms later.
-	askPause = 150 * time.Millisecond
-	// firstAskPause is that at the first start of a system, where nobody waits. Worked out: 195
+	// requestDelay is the mean of these times: a member that starts too is ready some 100 ms later.
+	requestDelay = 150 * time.Millisecond
+	// firstStartRequestDelay is that at the first start of a system, where nobody waits. Worked out: 195
 	// hosts that ask three small seeds every 150 ms take 130 ms a second of a core, and each of
 	// those has 61.
-	firstAskPause = 500 * time.Millisecond
+	firstStartRequestDelay = 500 * time.Millisecond
 )
 
 // ReaderRank returns the rank by which the daemon follows the store once it can place flows, if
 // its view says rank. One that started just now knows few others and takes itself for the first:
 // after a loss of power 195 hosts would each follow the store until they had found each other.
 func (s Startup) ReaderRank(rank int, now time.Time) int {
-	if now.Sub(s.StartedAt) < foundAfter {
+	if now.Sub(s.StartedAt) < discoveryPeriod {
 		return max(rank, 1)
 	}
 	return rank
 }
 
-// foundAfter is when a daemon has found the first of its zone: the seeds were asked four times.
+// discoveryPeriod is when a daemon has found the first of its zone: the seeds were asked four times.
 // Until then what it read itself, or was told, is fresh.
-const foundAfter = time.Second
+const discoveryPeriod = time.Second
 
 // IsLargerSource reports whether a member of a size is worth asking by a daemon of another that is reading
 // a long list while all hosts come back: one that is no larger starts no sooner, and takes as long
 // to read the list as the daemon itself.
-func IsLargerSource(member, self uint32) bool { return member >= tellerFactor*self }
+func IsLargerSource(member, self uint32) bool { return member >= sourceSizeFactor*self }
 
-// tellerFactor is by how much a member must be larger.
-const tellerFactor = 2
+// sourceSizeFactor is by how much a member must be larger.
+const sourceSizeFactor = 2
--- a/internal/connection/peer/start_test.go
+++ b/internal/connection/peer/start_test.go
@@ -83,15 +83,15 @@
 		}
 		all = append(all, member("large", "a", 800, 50), member("middle", "a", 400, 51), member("first", "c", 800, 52))
 		seed.Merge(now, all)
-		newcomer := member("new", "a", 60, 99)
-		out := seed.Receive(now, newcomer.Control, &peer.Message{Kind: peer.KindPing, Seq: 7, From: newcomer})
+		joining := member("new", "a", 60, 99)
+		out := seed.Receive(now, joining.Control, &peer.Message{Kind: peer.KindPing, Seq: 7, From: joining})
 		Expect(out).To(HaveLen(1))
 		Expect(out[0].Message.Kind).To(Equal(peer.KindAck))
-		told := names(out[0].Message.Updates)
-		Expect(told[:2]).To(Equal([]string{"large", "middle"}))
-		Expect(told[3]).To(Equal("first"))
-		Expect(told[:4]).NotTo(ContainElement("new"))
-		Expect(len(told)).To(BeNumerically("<=", peer.MaxUpdates))
+		received := names(out[0].Message.Updates)
+		Expect(received[:2]).To(Equal([]string{"large", "middle"}))
+		Expect(received[3]).To(Equal("first"))
+		Expect(received[:4]).NotTo(ContainElement("new"))
+		Expect(len(received)).To(BeNumerically("<=", peer.MaxUpdates))
 	})
 
 	It("stay within what one message carries", func() {
@@ -99,23 +99,23 @@
 		seed.Merge(now, []peer.Member{
 			member("a1", "a", 60, 2), member("a2", "a", 60, 3), member("a3", "a", 60, 4), member("b1", "b", 60, 5),
 		})
-		newcomer := member("new", "a", 60, 99)
-		out := seed.Receive(now, newcomer.Control, &peer.Message{Kind: peer.KindPing, From: newcomer})
+		joining := member("new", "a", 60, 99)
+		out := seed.Receive(now, joining.Control, &peer.Message{Kind: peer.KindPing, From: joining})
 		Expect(out[0].Message.Updates).To(HaveLen(2))
 	})
 
 	It("end once the newcomer has had time to ask", func() {
 		seed := membership(member("seed", "a", 60, 1), peer.MaxUpdates)
-		newcomer := member("new", "a", 60, 99)
-		ping := &peer.Message{Kind: peer.KindPing, From: newcomer}
-		seed.Receive(now, newcomer.Control, ping)
+		joining := member("new", "a", 60, 99)
+		ping := &peer.Message{Kind: peer.KindPing, From: joining}
+		seed.Receive(now, joining.Control, ping)
 		seed.Merge(now, []peer.Member{member("a1", "a", 60, 2)})
-		Expect(seed.Receive(now.Add(2*time.Second), newcomer.Control, ping)[0].Message.Updates).NotTo(BeEmpty())
+		Expect(seed.Receive(now.Add(2*time.Second), joining.Control, ping)[0].Message.Updates).NotTo(BeEmpty())
 		later := now.Add(4 * time.Second)
 		for range 20 { // Gossip about the newcomer itself runs out.
-			seed.Receive(later, newcomer.Control, ping)
+			seed.Receive(later, joining.Control, ping)
 		}
-		Expect(seed.Receive(later, newcomer.Control, ping)[0].Message.Updates).To(BeEmpty())
+		Expect(seed.Receive(later, joining.Control, ping)[0].Message.Updates).To(BeEmpty())
 	})
 
 	// 195 hosts start and each is told of all others. If each passed that on, every one would
--- a/internal/connection/peer/sum.go
+++ b/internal/connection/peer/sum.go
@@ -13,11 +13,11 @@
 // which shed while others have room.
 const (
 	StartupReportPeriod = 100 * time.Millisecond
-	eagerFor            = 2 * time.Second
+	startupReportWindow = 2 * time.Second
 )
 
 // UsesStartupReportPeriod reports whether a daemon that started so long ago tells loads each EagerPeriod.
-func UsesStartupReportPeriod(sinceStart time.Duration) bool { return sinceStart < eagerFor }
+func UsesStartupReportPeriod(sinceStart time.Duration) bool { return sinceStart < startupReportWindow }
 
 // SumReports adds up what several daemons count, the busiest upstreams first, within the
 // limits of a Report.
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -27,15 +27,15 @@
 	Members []Member
 	Changes
 	zones []bundle.Zone
-	// stay holds the places in Members of those that don't leave, and scores what
+	// staying holds the places in Members of those that don't leave, and scores what
 	// their identifiers add to a flow's hash; Home reads them for each packet.
-	stay   []int32
-	scores []uint64
-	byID   map[ID]*Member
-	byAddr map[netip.Addr]*Member
+	staying    []int32
+	stayingIDs []uint64
+	byID       map[ID]*Member
+	byAddr     map[netip.Addr]*Member
 	// zone is made when it is first asked for, see readers.
-	zoneOnce sync.Once
-	zone     []*Member
+	ownZoneOnce sync.Once
+	ownZone     []*Member
 }
 
 // Changes is what happened to the members lately.
@@ -71,8 +71,8 @@
 		v.byAddr[m.Data.Addr()] = m
 		v.addZone(m.Zone)
 		if m.State != StateLeaving {
-			v.stay = append(v.stay, int32(i))
-			v.scores = append(v.scores, uint64(m.ID))
+			v.staying = append(v.staying, int32(i))
+			v.stayingIDs = append(v.stayingIDs, uint64(m.ID))
 		}
 	}
 	return v
@@ -99,26 +99,26 @@
 // Owner returns the member that decides for a flow: the first in rank of those
 // who stay. If all are leaving, the first of these.
 func (v *View) Owner(h FlowHash) *Member {
-	if len(v.scores) == 0 {
-		return v.first(h, filter{leaving: true})
+	if len(v.stayingIDs) == 0 {
+		return v.highestRanked(h, filter{includeLeaving: true})
 	}
 	best, bestScore := 0, uint64(0)
-	for i, id := range v.scores {
+	for i, id := range v.stayingIDs {
 		if s := score(h, ID(id)); s > bestScore {
 			best, bestScore = i, s
 		}
 	}
-	return &v.Members[v.stay[best]]
+	return &v.Members[v.staying[best]]
 }
 
 // Backup returns the member that keeps the second record of a flow whose
 // upstream is in zone z: the first in rank there besides the home, or anywhere
 // if that zone has no other member. It is nil if there is no other member.
-func (v *View) Backup(h FlowHash, z bundle.Zone, home ID) *Member {
-	if m := v.first(h, filter{zone: z, not: home}); m != nil {
+func (v *View) Backup(h FlowHash, z bundle.Zone, owner ID) *Member {
+	if m := v.highestRanked(h, filter{zone: z, exclude: owner}); m != nil {
 		return m
 	}
-	return v.first(h, filter{not: home})
+	return v.highestRanked(h, filter{exclude: owner})
 }
 
 // placerSalt keeps the placer of a service apart from the homes of its flows.
@@ -134,8 +134,8 @@
 // that the zone knows the flow when it is cut off: the first in rank there
 // besides the home. In the upstream's zone that is the backup. It is nil if the
 // zone has no other member.
-func (v *View) Replica(h FlowHash, z bundle.Zone, home ID) *Member {
-	return v.first(h, filter{zone: z, not: home})
+func (v *View) Replica(h FlowHash, z bundle.Zone, owner ID) *Member {
+	return v.highestRanked(h, filter{zone: z, exclude: owner})
 }
 
 // IsWatcher reports whether this daemon is among the first n of its zone, who
@@ -156,12 +156,12 @@
 }
 
 // IsReplica reports whether this daemon keeps its zone's copy of a flow's record.
-func (v *View) IsReplica(h FlowHash, home ID) bool {
+func (v *View) IsReplica(h FlowHash, owner ID) bool {
 	self := v.byID[v.Self]
 	if self == nil {
 		return true
 	}
-	m := v.Replica(h, self.Zone, home)
+	m := v.Replica(h, self.Zone, owner)
 	return m != nil && m.ID == v.Self
 }
 
@@ -174,11 +174,11 @@
 	if len(v.UnreachableMembers) == 0 {
 		return false
 	}
-	home := v.Owner(h)
-	if home == nil {
+	owner := v.Owner(h)
+	if owner == nil {
 		return true
 	}
-	best := score(h, home.ID)
+	best := score(h, owner.ID)
 	for i := range v.UnreachableMembers {
 		if score(h, v.UnreachableMembers[i].ID) > best {
 			return true
@@ -190,37 +190,37 @@
 // filter says which members are ranked. The zero value takes all that stay.
 type filter struct {
 	// zone leaves only its members if it isn't empty.
-	zone bundle.Zone
-	not  ID
-	// leaving takes those that leave too.
-	leaving bool
-	// settled leaves out fresh members.
-	settled bool
-	// below leaves those whose score is less, if it isn't zero.
-	below uint64
+	zone    bundle.Zone
+	exclude ID
+	// includeLeaving takes those that leave too.
+	includeLeaving bool
+	// excludeRecent leaves out fresh members.
+	excludeRecent bool
+	// belowScore leaves those whose score is less, if it isn't zero.
+	belowScore uint64
 }
 
-func (v *View) passes(f *filter, m *Member) bool {
+func (v *View) matches(f *filter, m *Member) bool {
 	switch {
-	case m.ID == f.not || f.zone != "" && m.Zone != f.zone:
+	case m.ID == f.exclude || f.zone != "" && m.Zone != f.zone:
 		return false
-	case m.State == StateLeaving && !f.leaving:
+	case m.State == StateLeaving && !f.includeLeaving:
 		return false
 	}
-	return !f.settled || !slices.Contains(v.RecentlyJoined, m.ID)
+	return !f.excludeRecent || !slices.Contains(v.RecentlyJoined, m.ID)
 }
 
-// first returns the first in rank of the members that pass, or nil.
-func (v *View) first(h FlowHash, f filter) *Member {
+// highestRanked returns the highestRanked in rank of the members that pass, or nil.
+func (v *View) highestRanked(h FlowHash, f filter) *Member {
 	var best *Member
 	var bestScore uint64
 	for i := range v.Members {
 		m := &v.Members[i]
-		if !v.passes(&f, m) {
+		if !v.matches(&f, m) {
 			continue
 		}
 		s := score(h, m.ID)
-		if f.below != 0 && s >= f.below {
+		if f.belowScore != 0 && s >= f.belowScore {
 			continue
 		}
 		if best == nil || s > bestScore {
@@ -235,7 +235,7 @@
 // which is home in the view of a member that wrongly takes this one for dead.
 func (v *View) AddReplicas(h FlowHash, hop *geneve.Hop) {
 	for _, z := range v.zones {
-		v.addHolder(hop, v.Replica(h, z, v.Self))
+		v.addReplica(hop, v.Replica(h, z, v.Self))
 	}
 }
 
@@ -252,17 +252,17 @@
 // addRanked lists the members of a zone by rank, down to the first that stays
 // and has been there for long: a record was given to it or to one before it.
 func (v *View) addRanked(h FlowHash, z bundle.Zone, hop *geneve.Hop) {
-	f := filter{zone: z, not: v.Self, leaving: true}
+	f := filter{zone: z, exclude: v.Self, includeLeaving: true}
 	for range geneve.MaxHolders {
-		m := v.first(h, f)
+		m := v.highestRanked(h, f)
 		if m == nil {
 			return
 		}
-		v.addHolder(hop, m)
+		v.addReplica(hop, m)
 		if m.State != StateLeaving && !slices.Contains(v.RecentlyJoined, m.ID) {
 			return
 		}
-		f.below = score(h, m.ID)
+		f.belowScore = score(h, m.ID)
 	}
 }
 
@@ -278,11 +278,11 @@
 	}
 	slices.SortFunc(ranked, func(a, b *Member) int { return cmp.Compare(score(h, b.ID), score(h, a.ID)) })
 	for _, m := range ranked {
-		v.addHolder(hop, m)
+		v.addReplica(hop, m)
 	}
 }
 
-func (v *View) addHolder(hop *geneve.Hop, m *Member) {
+func (v *View) addReplica(hop *geneve.Hop, m *Member) {
 	if m != nil {
 		hop.AddHolder(uint64(m.ID))
 	}
@@ -294,31 +294,31 @@
 	if len(v.Lost) == 0 {
 		return false
 	}
-	home := v.firstLost(h, "", 0)
-	if home == nil {
+	owner := v.highestRankedLost(h, "", 0)
+	if owner == nil {
 		return false
 	}
 	for _, z := range v.zones {
-		if v.firstLost(h, z, home.ID) != nil {
+		if v.highestRankedLost(h, z, owner.ID) != nil {
 			return true
 		}
 	}
 	for i := range v.Lost {
-		if z := v.Lost[i].Zone; v.firstLost(h, z, home.ID) != nil {
+		if z := v.Lost[i].Zone; v.highestRankedLost(h, z, owner.ID) != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// firstLost returns the lost member that came before all present ones in rank,
+// highestRankedLost returns the lost member that came before all present ones in rank,
 // or nil. Fresh members don't count: they weren't there when it was lost.
-func (v *View) firstLost(h FlowHash, z bundle.Zone, not ID) *Member {
+func (v *View) highestRankedLost(h FlowHash, z bundle.Zone, exclude ID) *Member {
 	var best *Member
 	var bestScore uint64
 	for i := range v.Lost {
 		m := &v.Lost[i]
-		if m.ID == not || (z != "" && m.Zone != z) {
+		if m.ID == exclude || (z != "" && m.Zone != z) {
 			continue
 		}
 		if s := score(h, m.ID); best == nil || s > bestScore {
@@ -328,8 +328,8 @@
 	if best == nil {
 		return nil
 	}
-	f := filter{zone: z, not: not, leaving: true, settled: true}
-	if m := v.first(h, f); m != nil && score(h, m.ID) > bestScore {
+	f := filter{zone: z, exclude: exclude, includeLeaving: true, excludeRecent: true}
+	if m := v.highestRanked(h, f); m != nil && score(h, m.ID) > bestScore {
 		return nil
 	}
 	return best
--- a/internal/connection/peer/warmer_test.go
+++ b/internal/connection/peer/warmer_test.go
@@ -13,90 +13,90 @@
 )
 
 // sharer is a way to share what a slow upstream bears.
-type sharer interface {
+type limiter interface {
 	Update(v *peer.View, now time.Time)
 	Share(id bundle.UpstreamID, rate float64) int
 }
 
 // evenly gives each member of the zone the same part, one flow a second at least.
-type evenly struct{ members int }
+type equalShares struct{ members int }
 
-func (e *evenly) Update(v *peer.View, _ time.Time) { e.members = len(v.Members) }
+func (e *equalShares) Update(v *peer.View, _ time.Time) { e.members = len(v.Members) }
 
-func (e *evenly) Share(_ bundle.UpstreamID, rate float64) int {
+func (e *equalShares) Share(_ bundle.UpstreamID, rate float64) int {
 	return max(1, int(rate)/max(1, e.members))
 }
 
 // warmHost is a member of the zone with what it knows of the others.
-type warmHost struct {
+type warmupHost struct {
 	self    peer.ID
-	sharer  sharer
+	limiter limiter
 	members map[peer.ID]bool
 	// from is when it begins to send, until when it ends.
 	from, until time.Duration
-	changes     []warmChange
+	changes     []viewChange
 	// share is the sharer's word since it last saw a view.
 	share int
 	sent  []time.Duration
 }
 
 // warmChange is what a host comes to know of another.
-type warmChange struct {
+type viewChange struct {
 	at    time.Duration
 	id    peer.ID
 	there bool
 }
 
 const (
-	warmStep = 20 * time.Millisecond
+	simStep = 20 * time.Millisecond
 	// warmNotice is how long a host takes at most to notice another's coming or going.
-	warmNotice = 3 * time.Second
-	warmLength = 10 * time.Second
+	maxNoticeDelay = 3 * time.Second
+	simLength      = 10 * time.Second
 )
 
 // warmZone plays a zone whose members all send to one upstream as much as they may. Of n members a tenth dies at
 // 2 s, as many join at 4 s, and a third is cut off from the rest from 6 s on; each notices each change
 // at its own moment. It returns the most flows in any second, and the mean.
-func warmZone(n int, rate float64, seed uint64, newSharer func(self peer.ID, joined time.Time) sharer) (most int, mean float64) {
+func simulateZone(n int, rate float64, seed uint64, newLimiter func(self peer.ID, joined time.Time) limiter) (most int, mean float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1_000_000, 0)
 	part := max(1, n/10)
-	hosts := make([]*warmHost, 0, n+part)
+	hosts := make([]*warmupHost, 0, n+part)
 	for i := range n + part {
-		h := &warmHost{self: peer.IDOf(fmt.Sprint("host-", i)), members: make(map[peer.ID]bool), until: warmLength}
+		h := &warmupHost{self: peer.IDOf(fmt.Sprint("host-", i)), members: make(map[peer.ID]bool), until: simLength}
 		joined := start.Add(-time.Hour)
 		switch {
 		case i < part:
 			h.until = 2 * time.Second
 		case i >= n:
 			h.from = 4 * time.Second
-			joined = start.Add(h.from + warmNotice)
+			joined = start.Add(h.from + maxNoticeDelay)
 		}
-		h.sharer = newSharer(h.self, joined)
+		h.limiter = newLimiter(h.self, joined)
 		hosts = append(hosts, h)
 	}
-	notice := func() time.Duration { return time.Duration(rng.Int64N(int64(warmNotice))) }
+	notice := func() time.Duration { return time.Duration(rng.Int64N(int64(maxNoticeDelay))) }
 	for i, h := range hosts {
 		for j, o := range hosts {
 			if j < n {
 				h.members[o.self] = true
 			} else if i != j {
-				h.changes = append(h.changes, warmChange{at: o.from + notice(), id: o.self, there: true})
+				h.changes = append(h.changes, viewChange{at: o.from + notice(), id: o.self, there: true})
 			}
 			if j < part {
-				h.changes = append(h.changes, warmChange{at: o.until + notice(), id: o.self})
+				h.changes = append(h.changes, viewChange{at: o.until + notice(), id: o.self})
 			}
 			if cut := func(k int) bool { return k%3 == 0 }; cut(i) != cut(j) {
-				h.changes = append(h.changes, warmChange{at: 6*time.Second + notice(), id: o.self})
+				h.changes = append(h.changes, viewChange{at: 6*time.Second + notice(), id: o.self})
 			}
 		}
 		h.members[h.self] = true
 	}
 	var sent []time.Duration
-	for at := time.Duration(0); at < warmLength; at += warmStep {
+	for at := time.Duration(0); at < simLength; at += simStep {
 		for _, h := range hosts {
 			if at >= h.from && at < h.until {
-				sent = append(sent, h.play(start, at, rate)...)
+				sent = append(sent, h.step(start, at, rate)...)
 			}
 		}
 	}
@@ -107,14 +107,14 @@
 		}
 		most = max(most, i-first+1)
 	}
-	return most, float64(len(sent)) / warmLength.Seconds()
+	return most, float64(len(sent)) / simLength.Seconds()
 }
 
 // play sends what the host may in one step.
-func (h *warmHost) play(start time.Time, at time.Duration, rate float64) []time.Duration {
+func (h *warmupHost) step(start time.Time, at time.Duration, rate float64) []time.Duration {
 	changed := at == h.from || at%time.Second == 0
 	for _, c := range h.changes {
-		if c.at >= at-warmStep && c.at < at {
+		if c.at >= at-simStep && c.at < at {
 			h.members[c.id], changed = c.there, true
 		}
 	}
@@ -125,8 +125,8 @@
 				list = append(list, peer.Member{ID: id, Zone: "a"})
 			}
 		}
-		h.sharer.Update(peer.NewView(h.self, list, peer.Changes{}), start.Add(at))
-		h.share = h.sharer.Share(7, rate)
+		h.limiter.Update(peer.NewView(h.self, list, peer.Changes{}), start.Add(at))
+		h.share = h.limiter.Share(7, rate)
 	}
 	for len(h.sent) > 0 && at-h.sent[0] >= time.Second {
 		h.sent = h.sent[1:]
@@ -147,7 +147,7 @@
 		for _, rate := range []float64{2, 7, 20, 60} {
 			It(fmt.Sprintf("keep to its bound of %v a second while %d members come, go and are cut off", rate, n), func() {
 				for seed := range uint64(3) {
-					most, mean := warmZone(n, rate, seed, func(self peer.ID, joined time.Time) sharer {
+					most, mean := simulateZone(n, rate, seed, func(self peer.ID, joined time.Time) limiter {
 						return peer.NewWarmupLimiter(self, joined)
 					})
 					Expect(most).To(BeNumerically("<=", 1.5*rate+5), "seed %d", seed)
@@ -159,7 +159,7 @@
 
 	// The other way weighed: each member has the same part. It is less than a flow a second, so it is none or too much.
 	It("do so where equal parts of all members don't", func() {
-		most, _ := warmZone(28, 7, 1, func(peer.ID, time.Time) sharer { return &evenly{} })
+		most, _ := simulateZone(28, 7, 1, func(peer.ID, time.Time) limiter { return &equalShares{} })
 		Expect(most).To(BeNumerically(">", 1.5*7+5))
 	})
 
--- a/internal/connection/upstream/policy.go
+++ b/internal/connection/upstream/policy.go
@@ -31,8 +31,8 @@
 // over all members. Ties are broken by the requests in progress, then the seed.
 type LeastLoaded struct{}
 
-// requestShare keeps requests in progress below the weight of a whole flow.
-const requestShare = 1.0 / 1024
+// requestWeight keeps requests in progress below the weight of a whole flow.
+const requestWeight = 1.0 / 1024
 
 // Choose implements Policy.
 func (LeastLoaded) Choose(candidates []Candidate, seed uint64) *bundle.UpstreamRoute {
@@ -45,7 +45,7 @@
 	start := int(seed % uint64(n))
 	for i := range candidates {
 		c := &candidates[(start+i)%n]
-		if !c.hasRoom() {
+		if !c.hasCapacity() {
 			continue
 		}
 		cost := c.cost()
--- a/internal/connection/upstream/rush_test.go
+++ b/internal/connection/upstream/rush_test.go
@@ -19,34 +19,34 @@
 // slots and 12 places to wait, requests of 55 ms, a flow with about 1.3 requests a
 // second, balancers that learn of each other's flows half a second late.
 const (
-	rushSlots   = 3
-	rushQueue   = 12
-	rushWork    = 55 * time.Millisecond
-	rushPeriod  = 750 * time.Millisecond
-	rushTold    = 500 * time.Millisecond
-	rushLate    = 250 * time.Millisecond
-	rushHosts   = 3
-	rushLength  = 20 * time.Second
-	rushFlowFor = 5 * time.Second
+	simSlots         = 3
+	simQueue         = 12
+	simServiceTime   = 55 * time.Millisecond
+	simRequestPeriod = 750 * time.Millisecond
+	simReportPeriod  = 500 * time.Millisecond
+	simDeadline      = 250 * time.Millisecond
+	simBalancers     = 3
+	simLength        = 20 * time.Second
+	simFlowLength    = 5 * time.Second
 )
 
 // rush is one play of the model.
-type rush struct {
+type simulation struct {
 	rng       *rand.Rand
 	policy    func(zone bundle.Zone) upstream.Policy
 	now       time.Duration
 	events    events
-	upstreams []*rushUpstream
-	zones     map[bundle.Zone]*rushZone
+	upstreams []*simUpstream
+	zones     map[bundle.Zone]*simZone
 	// busy is what balancers take for the requests in progress of one flow.
-	busy                   float64
+	requestsPerFlow        float64
 	asked, refused, inTime int
 }
 
-type rushUpstream struct {
-	route           *bundle.UpstreamRoute
-	flows           int64
-	inWork, waiting int
+type simUpstream struct {
+	route               *bundle.UpstreamRoute
+	flows               int64
+	inProgress, waiting int
 	// asked counts the requests that came.
 	asked int
 	dead  bool
@@ -56,9 +56,9 @@
 
 // rushZone is the balancers of a zone: what each counts, and what all counted when
 // it was last told.
-type rushZone struct {
-	hosts []map[*rushUpstream]*upstream.Load
-	told  map[*rushUpstream]int64
+type simZone struct {
+	hosts    []map[*simUpstream]*upstream.Load
+	reported map[*simUpstream]int64
 }
 
 type event struct {
@@ -78,37 +78,39 @@
 	return last
 }
 
-func newRush(perZone int, zones []bundle.Zone, policy func(bundle.Zone) upstream.Policy) *rush {
-	r := &rush{
-		rng: rand.New(rand.NewPCG(1, 2)), policy: policy, zones: make(map[bundle.Zone]*rushZone),
-		busy: rushWork.Seconds() / rushPeriod.Seconds(),
+func newSimulation(perZone int, zones []bundle.Zone, policy func(bundle.Zone) upstream.Policy) *simulation {
+	r := &simulation{
+		rng: rand.New(rand.NewPCG(1, 2)), policy: policy, zones: make(map[bundle.Zone]*simZone),
+		requestsPerFlow: simServiceTime.Seconds() / simRequestPeriod.Seconds(),
 	}
 	for i, z := range zones {
-		r.zones[z] = &rushZone{told: make(map[*rushUpstream]int64)}
-		for range rushHosts {
-			r.zones[z].hosts = append(r.zones[z].hosts, make(map[*rushUpstream]*upstream.Load))
+		r.zones[z] = &simZone{reported: make(map[*simUpstream]int64)}
+		for range simBalancers {
+			r.zones[z].hosts = append(r.zones[z].hosts, make(map[*simUpstream]*upstream.Load))
 		}
 		for n := range perZone {
-			r.upstreams = append(r.upstreams, &rushUpstream{route: &bundle.UpstreamRoute{
-				ID: bundle.UpstreamID(100*i + n + 1), Zone: z, Slots: rushSlots, Connections: 2000,
+			r.upstreams = append(r.upstreams, &simUpstream{route: &bundle.UpstreamRoute{
+				ID: bundle.UpstreamID(100*i + n + 1), Zone: z, Slots: simSlots, Connections: 2000,
 			}})
 		}
 	}
-	r.every(rushTold, r.tell)
+	r.every(simReportPeriod, r.report)
 	return r
 }
 
-func (r *rush) at(d time.Duration, do func()) { heap.Push(&r.events, event{at: r.now + d, do: do}) }
+func (r *simulation) at(d time.Duration, do func()) {
+	heap.Push(&r.events, event{at: r.now + d, do: do})
+}
 
-func (r *rush) every(d time.Duration, do func()) {
+func (r *simulation) every(d time.Duration, do func()) {
 	r.at(d, func() {
 		do()
 		r.every(d, do)
 	})
 }
 
-func (r *rush) play() {
-	for len(r.events) > 0 && r.events[0].at < rushLength {
+func (r *simulation) play() {
+	for len(r.events) > 0 && r.events[0].at < simLength {
 		e := heap.Pop(&r.events).(event)
 		r.now = e.at
 		e.do()
@@ -116,29 +118,29 @@
 }
 
 // tell lets the balancers of each zone know the flows of all.
-func (r *rush) tell() {
+func (r *simulation) report() {
 	for _, z := range r.zones {
 		for _, u := range r.upstreams {
-			z.told[u] = u.flows
+			z.reported[u] = u.flows
 		}
 	}
 }
 
 // caller opens flows of a zone one after the other.
-func (r *rush) caller(zone bundle.Zone) {
+func (r *simulation) caller(zone bundle.Zone) {
 	u, l := r.place(zone)
 	if u == nil {
-		r.at(rushPeriod, func() { r.caller(zone) })
+		r.at(simRequestPeriod, func() { r.caller(zone) })
 		return
 	}
 	u.flows++
 	l.Flows.Add(1)
-	end := r.now + rushFlowFor/2 + time.Duration(r.rng.Int64N(int64(rushFlowFor)))
+	end := r.now + simFlowLength/2 + time.Duration(r.rng.Int64N(int64(simFlowLength)))
 	r.requests(zone, u, l, end)
 }
 
-func (r *rush) requests(zone bundle.Zone, u *rushUpstream, l *upstream.Load, end time.Duration) {
-	pause := rushPeriod/2 + time.Duration(r.rng.Int64N(int64(rushPeriod)))
+func (r *simulation) requests(zone bundle.Zone, u *simUpstream, l *upstream.Load, end time.Duration) {
+	pause := simRequestPeriod/2 + time.Duration(r.rng.Int64N(int64(simRequestPeriod)))
 	r.at(pause, func() {
 		if u.dead || r.now > end {
 			u.flows--
@@ -151,30 +153,30 @@
 	})
 }
 
-func (r *rush) request(u *rushUpstream) {
+func (r *simulation) request(u *simUpstream) {
 	r.asked++
 	u.asked++
-	if u.inWork == rushSlots && u.waiting == rushQueue {
+	if u.inProgress == simSlots && u.waiting == simQueue {
 		r.refused++
 		return
 	}
-	if u.inWork == rushSlots {
+	if u.inProgress == simSlots {
 		u.waiting++
 		u.queue = append(u.queue, r.now)
 		return
 	}
-	u.inWork++
+	u.inProgress++
 	r.work(u, r.now)
 }
 
-func (r *rush) work(u *rushUpstream, asked time.Duration) {
-	took := time.Duration(r.rng.ExpFloat64() * float64(rushWork))
+func (r *simulation) work(u *simUpstream, asked time.Duration) {
+	took := time.Duration(r.rng.ExpFloat64() * float64(simServiceTime))
 	r.at(took, func() {
-		if !u.dead && r.now-asked <= rushLate {
+		if !u.dead && r.now-asked <= simDeadline {
 			r.inTime++
 		}
 		if u.waiting == 0 {
-			u.inWork--
+			u.inProgress--
 			return
 		}
 		next := u.queue[0]
@@ -185,12 +187,12 @@
 }
 
 // place asks the policy of one of the zone's balancers.
-func (r *rush) place(zone bundle.Zone) (*rushUpstream, *upstream.Load) {
+func (r *simulation) place(zone bundle.Zone) (*simUpstream, *upstream.Load) {
 	z := r.zones[zone]
-	host := z.hosts[r.rng.IntN(rushHosts)]
+	host := z.hosts[r.rng.IntN(simBalancers)]
 	var candidates []upstream.Candidate
-	byID := make(map[bundle.UpstreamID]*rushUpstream)
-	board := upstream.NewLoadTable()
+	byID := make(map[bundle.UpstreamID]*simUpstream)
+	table := upstream.NewLoadTable()
 	for _, u := range r.upstreams {
 		if u.dead {
 			continue
@@ -198,13 +200,13 @@
 		if host[u] == nil {
 			host[u] = &upstream.Load{}
 		}
-		l := board.Load(u.route.ID)
+		l := table.Load(u.route.ID)
 		own := host[u].Flows.Load()
 		l.Flows.Store(own)
-		board.UpdateReported(upstream.MemberID(u.route.ID), []bundle.UpstreamID{u.route.ID}, []uint32{uint32(max(0, z.told[u]-own))})
+		table.UpdateReported(upstream.MemberID(u.route.ID), []bundle.UpstreamID{u.route.ID}, []uint32{uint32(max(0, z.reported[u]-own))})
 		byID[u.route.ID] = u
 		candidates = append(candidates, upstream.Candidate{
-			Route: u.route, Load: l, RequestsPerFlow: r.busy, ZoneFlowsPerSlot: r.zoneFlows(zone, u.route.Zone),
+			Route: u.route, Load: l, RequestsPerFlow: r.requestsPerFlow, ZoneFlowsPerSlot: r.zoneFlows(zone, u.route.Zone),
 		})
 	}
 	route := r.policy(zone).Choose(candidates, r.rng.Uint64())
@@ -215,25 +217,25 @@
 	return u, host[u]
 }
 
-func (r *rush) zoneFlows(own, zone bundle.Zone) float64 {
+func (r *simulation) zoneFlows(own, zone bundle.Zone) float64 {
 	if own == zone {
 		return 0
 	}
 	flows, slots := int64(0), 0
 	for _, u := range r.upstreams {
 		if u.route.Zone == zone && !u.dead {
-			flows += r.zones[zone].told[u]
-			slots += rushSlots
+			flows += r.zones[zone].reported[u]
+			slots += simSlots
 		}
 	}
 	return float64(flows) / float64(max(1, slots))
 }
 
-func (r *rush) String() string {
+func (r *simulation) String() string {
 	return fmt.Sprintf("%d of %d in time, %d refused", r.inTime, r.asked, r.refused)
 }
 
-func (r *rush) share() float64 { return float64(r.inTime) / float64(max(1, r.asked)) }
+func (r *simulation) share() float64 { return float64(r.inTime) / float64(max(1, r.asked)) }
 
 // ownOnly is the policy before: never across zones.
 type ownOnly struct{ upstream.Policy }
@@ -265,8 +267,8 @@
 	// second ago. All take the same one, its queue is full, and it sheds requests
 	// while its neighbours idle.
 	It("doesn't send all new flows of half a second to one upstream", func() {
-		play := func(choices int) *rush {
-			r := newRush(40, []bundle.Zone{"a"}, func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, choices) })
+		play := func(choices int) *simulation {
+			r := newSimulation(40, []bundle.Zone{"a"}, func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, choices) })
 			for range 1100 {
 				r.at(time.Duration(r.rng.Int64N(int64(time.Second))), func() { r.caller("a") })
 			}
@@ -281,8 +283,8 @@
 
 var _ = Describe("Placing across zones", func() {
 	zones := []bundle.Zone{"a", "b", "c"}
-	play := func(policy func(bundle.Zone) upstream.Policy, crash int) *rush {
-		r := newRush(5, zones, policy)
+	play := func(policy func(bundle.Zone) upstream.Policy, crash int) *simulation {
+		r := newSimulation(5, zones, policy)
 		for i := range 360 {
 			r.at(time.Duration(r.rng.Int64N(int64(time.Second))), func() { r.caller(zones[i%3]) })
 		}
@@ -294,15 +296,15 @@
 		r.play()
 		return r
 	}
-	spill := func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, upstream.DefaultChoices) }
-	never := func(z bundle.Zone) upstream.Policy { return ownOnly{spill(z)} }
+	spillover := func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, upstream.DefaultChoices) }
+	ownZoneOnly := func(z bundle.Zone) upstream.Policy { return ownOnly{spillover(z)} }
 	// knowing places by the least loaded of all zones: it pays for each byte across.
-	knowing := func(bundle.Zone) upstream.Policy { return upstream.LeastLoaded{} }
+	leastOfAll := func(bundle.Zone) upstream.Policy { return upstream.LeastLoaded{} }
 
 	// Three of a zone's five upstreams crash before the weekly rush. Its secretaries
 	// wait behind the two that are left, while the zones beside it idle.
 	It("serves a zone that lost most of its upstreams nearly as well as placing anywhere does", func() {
-		with, without, best := play(spill, 3), play(never, 3), play(knowing, 3)
+		with, without, best := play(spillover, 3), play(ownZoneOnly, 3), play(leastOfAll, 3)
 		Expect(with.share()).To(BeNumerically(">", without.share()+0.05), "with: %v; never: %v", with, without)
 		Expect(with.share()).To(BeNumerically(">", best.share()-0.05), "with: %v; anywhere: %v", with, best)
 	})
@@ -327,13 +329,13 @@
 			return most
 		}
 		hashed := worst(func(z bundle.Zone) upstream.Policy { return ownZoneHashed(z) })
-		ours := worst(spill)
+		ours := worst(spillover)
 		Expect(ours).To(BeNumerically("<", 1.2))
 		Expect(ours).To(BeNumerically("<", hashed), "ours %.3f, hashed %.3f", ours, hashed)
 	})
 
 	It("stays in the own zone while it has room", func() {
-		r := play(spill, 0)
+		r := play(spillover, 0)
 		crossed := int64(0)
 		for z, hosts := range r.zones {
 			for _, h := range hosts.hosts {
--- a/internal/connection/upstream/zoned.go
+++ b/internal/connection/upstream/zoned.go
@@ -14,7 +14,7 @@
 type ZoneAware struct {
 	zone    bundle.Zone
 	choices int
-	drawn   []int
+	sampled []int
 }
 
 // DefaultChoices is how many candidates are drawn. What others placed is known half
@@ -36,8 +36,8 @@
 // upstreams with two or three slots wait about as long as they are worked on; the
 // margin keeps two busy zones from sending their flows to each other.
 const (
-	crowded     = 0.8
-	spillMargin = 0.25
+	spilloverUtilization = 0.8
+	spilloverMargin      = 0.25
 )
 
 // The utilization is that of the last seconds. What this daemon itself waits for is known at
@@ -45,18 +45,18 @@
 // to another zone whose upstream has half a request a slot less to do. In a burst of one zone its upstreams
 // would else shed while the other zones have room.
 const (
-	occupied       = 1.0
-	occupiedMargin = 0.5
+	fullOutstanding   = 1.0
+	outstandingMargin = 0.5
 )
 
 // Choose implements Policy.
 func (z *ZoneAware) Choose(candidates []Candidate, seed uint64) *bundle.UpstreamRoute {
-	own := z.least(candidates, seed, true)
-	crowding := z.utilization(candidates)
-	if own != nil && crowding <= crowded && own.outstanding() < occupied {
+	own := z.leastLoaded(candidates, seed, true)
+	utilization := z.utilization(candidates)
+	if own != nil && utilization <= spilloverUtilization && own.outstanding() < fullOutstanding {
 		return own.Route
 	}
-	other := z.least(candidates, seed, false)
+	other := z.leastLoaded(candidates, seed, false)
 	switch {
 	case other == nil && own == nil:
 		return nil
@@ -64,9 +64,9 @@
 		return other.Route
 	case other == nil || other.ZoneFlowsPerSlot < 0:
 		return own.Route
-	case crowding > crowded && other.ZoneFlowsPerSlot*other.RequestsPerFlow+spillMargin < crowding:
+	case utilization > spilloverUtilization && other.ZoneFlowsPerSlot*other.RequestsPerFlow+spilloverMargin < utilization:
 		return other.Route
-	case own.outstanding() >= occupied && other.outstanding()+occupiedMargin < own.outstanding():
+	case own.outstanding() >= fullOutstanding && other.outstanding()+outstandingMargin < own.outstanding():
 		return other.Route
 	}
 	return own.Route
@@ -79,7 +79,7 @@
 	slots := 0
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Route.Zone == z.zone && c.hasRoom() {
+		if c.Route.Zone == z.zone && c.hasCapacity() {
 			busy += float64(c.Load.Total()) * c.RequestsPerFlow
 			slots += c.Route.Slots
 		}
@@ -87,13 +87,13 @@
 	return busy / float64(max(1, slots))
 }
 
-// least draws candidates of the own zone or of others by a partial shuffle and
-// returns the least loaded, or nil if none has room.
-func (z *ZoneAware) least(candidates []Candidate, seed uint64, own bool) *Candidate {
-	z.drawn = z.drawn[:0]
+// leastLoaded draws candidates of the own zone or of others by a partial shuffle and
+// returns the leastLoaded loaded, or nil if none has room.
+func (z *ZoneAware) leastLoaded(candidates []Candidate, seed uint64, own bool) *Candidate {
+	z.sampled = z.sampled[:0]
 	for i := range candidates {
-		if (candidates[i].Route.Zone == z.zone) == own && candidates[i].hasRoom() {
-			z.drawn = append(z.drawn, i)
+		if (candidates[i].Route.Zone == z.zone) == own && candidates[i].hasCapacity() {
+			z.sampled = append(z.sampled, i)
 		}
 	}
 	var src rand.PCG
@@ -101,10 +101,10 @@
 	rng := rand.New(&src)
 	var best *Candidate
 	least := math.Inf(1)
-	for i := range min(z.choices, len(z.drawn)) {
-		j := i + rng.IntN(len(z.drawn)-i)
-		z.drawn[i], z.drawn[j] = z.drawn[j], z.drawn[i]
-		c := &candidates[z.drawn[i]]
+	for i := range min(z.choices, len(z.sampled)) {
+		j := i + rng.IntN(len(z.sampled)-i)
+		z.sampled[i], z.sampled[j] = z.sampled[j], z.sampled[i]
+		c := &candidates[z.sampled[i]]
 		if cost := c.cost(); cost < least {
 			best, least = c, cost
 		}
@@ -117,8 +117,8 @@
 	return float64(c.Load.Requests.Load()) / float64(c.Route.Slots)
 }
 
-// hasRoom reports whether the candidate may take one flow more.
-func (c *Candidate) hasRoom() bool {
+// hasCapacity reports whether the candidate may take one flow more.
+func (c *Candidate) hasCapacity() bool {
 	return !c.Route.Drain && c.Load.Total() < int64(c.Route.Connections)
 }
 
@@ -128,5 +128,5 @@
 	if c.Cold {
 		flows += coldFlows
 	}
-	return (flows + requestShare*float64(c.Load.Requests.Load())) / float64(c.Route.Slots)
+	return (flows + requestWeight*float64(c.Load.Requests.Load())) / float64(c.Route.Slots)
 }
