--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -158,7 +158,7 @@
 	changes := make([]registry.Change, 0, len(ch.List))
 	for i := range ch.List {
 		if r := registrationOf(&ch.List[i].Object); r.ID != 0 {
-			changes = append(changes, registry.Change{Registration: r, Gone: ch.List[i].Deleted})
+			changes = append(changes, registry.Change{Registration: r, Removed: ch.List[i].Deleted})
 		}
 	}
 	c.takeList(ch.AsOf, now, func() bool { return c.known.catalog.Apply(changes, ch.AsOf, now) })
@@ -184,6 +184,6 @@
 // confirmList notes as of when the list of upstreams is known. c.mu is held.
 func (c *Carrier) confirmList(at time.Time) {
 	c.known.confirm(kindUpstreams, at)
-	c.engine.Confirm(at)
+	c.engine.ConfirmRegistrations(at)
 	c.noteReady()
 }
