--- a/internal/connection/peer/news_test.go
+++ b/internal/connection/peer/advertisement_test.go
@@ -13,10 +13,10 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-var _ = Describe("News", func() {
-	// While many upstreams are replaced, each news is as long as it may be. If it didn't fit
-	// a datagram, no member would hear any of them.
-	It("fits a datagram with as many changes as it may have", func() {
+var _ = Describe("Advertisement", func() {
+	// While many upstreams are replaced, each advertisement carries as many changes as it may. If
+	// it exceeded the size of a datagram, no member would receive any.
+	It("fits into a datagram with as many changes as it may carry", func() {
 		n := &peer.Advertisement{From: 1 << 60, Age: time.Second, AsOf: 1 << 40, Digest: 1 << 60, Bundle: 1 << 30}
 		for i := range peer.MaxAdvertisedChanges {
 			n.Changes = append(n.Changes, registry.Change{Registration: registry.Registration{
--- a/internal/connection/peer/bench_test.go
+++ b/internal/connection/peer/bench_test.go
@@ -25,7 +25,8 @@
 	return out
 }
 
-// BenchmarkLearn is what a daemon that starts takes to know a fleet and to make its view.
+// BenchmarkMerge measures how long a starting daemon takes to add the members of a fleet and to
+// make its view.
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{195, 1000, 16000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -42,7 +43,8 @@
 	}
 }
 
-// BenchmarkCatalogDecode is what a list costs a daemon that another one tells.
+// BenchmarkCatalogDecode measures how long a daemon takes to decode the list of registrations that
+// another daemon sends.
 func BenchmarkCatalogDecode(b *testing.B) {
 	for _, n := range []int{18, 293, 3000, 30000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
--- a/internal/connection/peer/codec.go
+++ b/internal/connection/peer/codec.go
@@ -9,20 +9,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Domain keeps a message of one protocol from being taken for one of another.
+// Domain separates the protocols: a message of one protocol fails authentication in another one.
 type Domain string
 
 // The protocols between daemons.
 const (
 	DomainMembership Domain = "fescueshed membership 1\n"
-	// DomainSequencedMembership is that of membership messages with numbers.
+	// DomainSequencedMembership is the domain of membership messages with sequence numbers.
 	DomainSequencedMembership Domain = "fescueshed membership 2\n"
 	DomainAdvertisement       Domain = "fescueshed news 5\n"
 	DomainReport              Domain = "fescueshed report 3\n"
 	DomainCatalog             Domain = "fescueshed catalog 5\n"
 )
 
-// checked is a pointer to a wire type that checks itself when decoded.
+// checked is a pointer to a wire type that validates itself after decoding.
 type checked[T any] interface {
 	*T
 	Check() error
@@ -32,40 +32,40 @@
 // It is safe for concurrent use.
 type Codec[T any, P checked[T]] struct {
 	domain Domain
-	// keys are those accepted, the first is the one to seal with.
+	// keys are the accepted keys. The first one seals messages.
 	keys atomic.Pointer[[][]byte]
 	enc  cbor.EncMode
 	dec  cbor.DecMode
 }
 
-// Keys are the secrets that daemons share.
+// Keys are the secrets that the daemons share.
 type Keys struct {
-	// Seal is the one that messages are written with.
+	// Seal is the secret with which messages are written.
 	Seal []byte
-	// Accept are others that are read too: the next one before any daemon writes with it, or
-	// the last one while some still do.
+	// Accept are further secrets whose messages are read: the next secret before any daemon writes
+	// with it, or the previous one while some daemons still do.
 	Accept [][]byte
 }
 
-// ErrMAC is returned for a message that no daemon with the same secret wrote.
-var ErrMAC = eris.New("peer: message wasn't written by a member")
+// ErrMAC is returned for a message that wasn't written by a daemon with an accepted secret.
+var ErrMAC = eris.New("peer: message authentication failed")
 
 const (
 	macBytes = 16
-	// maxElements bounds arrays before they are allocated. The largest are the
-	// upstreams of the size to design for, 110,000.
+	// maxElements bounds arrays before they are allocated. The largest ones are those of the
+	// upstreams, of which a system has up to 110,000.
 	maxElements    = 1 << 17
 	maxMapPairs    = 16
 	maxNestedLevel = 8
 )
 
-// NewCodec returns a codec whose key is derived from the shared secret.
+// NewCodec returns a codec whose key is derived from the shared secret and the domain.
 func NewCodec[T any, P checked[T]](secret []byte, d Domain) (*Codec[T, P], error) {
 	enc, err := cbor.EncOptions{
 		TextMarshaler: cbor.TextMarshalerNone,
 	}.EncMode()
 	if err != nil {
-		return nil, eris.Wrap(err, "peer")
+		return nil, eris.Wrap(err, "peer: create encoder")
 	}
 	dec, err := decMode()
 	c := &Codec[T, P]{domain: d, enc: enc, dec: dec}
@@ -73,18 +73,18 @@
 	return c, err
 }
 
-// decMode bounds what is decoded before it is allocated.
+// decMode returns a decoder that checks the sizes of arrays, maps and nesting before it allocates.
 func decMode() (cbor.DecMode, error) {
 	dec, err := cbor.DecOptions{
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxMapPairs,
 		MaxNestedLevels:  maxNestedLevel,
 	}.DecMode()
-	return dec, eris.Wrap(err, "peer")
+	return dec, eris.Wrap(err, "peer: create decoder")
 }
 
-// SetKeys replaces the secrets. Messages that are under way are read if their secret is still
-// among them.
+// SetKeys replaces the secrets. Messages in transit are read if their secret is still among the new
+// ones.
 func (c *Codec[T, P]) SetKeys(k Keys) {
 	keys := make([][]byte, 0, 1+len(k.Accept))
 	for _, secret := range append([][]byte{k.Seal}, k.Accept...) {
@@ -94,17 +94,18 @@
 	c.keys.Store(&keys)
 }
 
-// Encode writes a message and its authentication code (HMAC-SHA-256, truncated
-// to 128 bits; RFC 2104, section 5).
+// Encode returns the encoded message and its authentication code (HMAC-SHA-256, truncated to 128
+// bits; RFC 2104, section 5).
 func (c *Codec[T, P]) Encode(m P) ([]byte, error) {
 	b, err := c.enc.Marshal(m)
 	if err != nil {
-		return nil, eris.Wrap(err, "peer")
+		return nil, eris.Wrap(err, "peer: encode message")
 	}
 	return c.seal(b), nil
 }
 
-// Decode checks and reads what Encode wrote.
+// Decode authenticates, decodes and checks a message that Encode returned. It returns ErrMAC if the
+// authentication code doesn't match any accepted secret.
 func (c *Codec[T, P]) Decode(b []byte) (P, error) {
 	b, err := c.open(b)
 	if err != nil {
@@ -113,12 +114,12 @@
 	return c.unmarshal(b)
 }
 
-// seal adds the authentication code.
+// seal appends the authentication code.
 func (c *Codec[T, P]) seal(b []byte) []byte {
 	return append(b, mac((*c.keys.Load())[0], b)...)
 }
 
-// open checks the authentication code and takes it off.
+// open verifies the authentication code and removes it.
 func (c *Codec[T, P]) open(b []byte) ([]byte, error) {
 	n := len(b) - macBytes
 	if n < 0 {
@@ -135,7 +136,7 @@
 func (c *Codec[T, P]) unmarshal(b []byte) (P, error) {
 	m := P(new(T))
 	if err := c.dec.Unmarshal(b, m); err != nil {
-		return nil, eris.Wrap(err, "peer")
+		return nil, eris.Wrap(err, "peer: decode message")
 	}
 	if err := m.Check(); err != nil {
 		return nil, err
--- a/internal/connection/peer/contacts.go
+++ b/internal/connection/peer/contacts.go
@@ -9,37 +9,39 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Contacts are members by whom others are found. The reader of the store keeps them
-// there in one object, for daemons whose seeds are out of date and for parts of the
-// system that have lost each other: one object that is replaced needs nobody to clean
-// up after members that died, and its calls don't grow with their number.
+// Contacts are members through which other members are discovered. The daemon that reads the store
+// keeps them there in one object, for daemons whose seeds are outdated and for parts of the system
+// that lost contact with each other. A single object that is replaced needs no removal of members
+// that died, and the number of its calls doesn't grow with their number.
 type Contacts struct {
 	Members []Contact
 }
 
-// Contact is a member to be asked.
+// Contact is a member that can be queried for others.
 type Contact struct {
 	Name    string
 	Zone    bundle.Zone
 	Control netip.AddrPort
-	// Size is that of the member, zero if the daemon that wrote it didn't tell.
+	// Size is the size of the member, zero if the daemon that wrote the contact didn't send it.
 	Size uint32
 }
 
 const (
-	// contactsInZone is how many members of each zone are kept: two may die at once.
+	// contactsInZone is the number of members kept for each zone, enough to survive the death of
+	// two at the same time.
 	contactsInZone = 3
-	// MaxContacts bounds the object: ten zones' members, and as many of before.
+	// MaxContacts bounds the object: the members of ten zones, and the same number of older
+	// contacts.
 	MaxContacts = 60
 )
 
-// ErrContacts is returned for contacts that can't be used.
+// ErrContacts is returned for contacts that are too many or that have an invalid address.
 var ErrContacts = eris.New("peer: unusable contacts")
 
-// Check implements the check of a wire type.
+// Check returns ErrContacts if there are too many contacts or if one can't be reached.
 func (c *Contacts) Check() error {
 	if len(c.Members) > MaxContacts {
-		return eris.Wrapf(ErrContacts, "there are %d, want at most %d", len(c.Members), MaxContacts)
+		return eris.Wrapf(ErrContacts, "got %d contacts, want at most %d", len(c.Members), MaxContacts)
 	}
 	for i, m := range c.Members {
 		if !m.Control.IsValid() || m.Control.Port() == 0 {
@@ -49,7 +51,7 @@
 	return nil
 }
 
-// Addresses returns the control addresses.
+// Addresses returns the control addresses of all contacts.
 func (c *Contacts) Addresses() []netip.AddrPort {
 	out := make([]netip.AddrPort, 0, len(c.Members))
 	for _, m := range c.Members {
@@ -58,9 +60,9 @@
 	return out
 }
 
-// Contacts returns the contacts to be kept in place of those that are: the first of each
-// zone, and then the old ones as far as there is room. Those out of reach stay, since a
-// zone that is cut off must not make others forget the rest.
+// Contacts returns the contacts that replace the old ones: the first members of each zone in reader
+// order, followed by old contacts up to MaxContacts. Old contacts that are unreachable are kept,
+// since a zone that is partitioned from the others must not remove theirs.
 func (v *View) Contacts(old *Contacts) Contacts {
 	var out Contacts
 	inZone := make(map[bundle.Zone]int)
@@ -86,9 +88,9 @@
 	return slices.ContainsFunc(c.Members, func(m Contact) bool { return m.Control == at })
 }
 
-// ContactsOutdated reports whether contacts are to be replaced: none of a zone's largest members is
-// among them. Any member would do to be found by, but after a loss of all power it is the largest
-// who can tell the others soonest.
+// ContactsOutdated reports whether contacts are to be replaced because they contain none of the
+// largest members of some zone. Any member can be used for discovery, but after a power loss of the
+// whole system the largest members are the first that can send the store's content to others.
 func (v *View) ContactsOutdated(c *Contacts) bool {
 	largest := make(map[bundle.Zone]uint32)
 	for i := range v.Members {
@@ -105,7 +107,8 @@
 	return len(found) < len(largest)
 }
 
-// LargerInZone returns the control addresses of those in a zone that Tells holds for.
+// LargerInZone returns the control addresses of the contacts in a zone that IsLargerSource accepts
+// for a daemon of size self.
 func (c *Contacts) LargerInZone(zone bundle.Zone, self uint32) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, m := range c.Members {
--- a/internal/connection/peer/contacts_test.go
+++ b/internal/connection/peer/contacts_test.go
@@ -24,7 +24,7 @@
 		return peer.NewView(members[0].ID, members, peer.Changes{})
 	}
 
-	It("name some of each zone and needn't be replaced while one of each is there", func() {
+	It("contain members of each zone and aren't outdated while a largest member of each zone is among them", func() {
 		v := view(0, 30)
 		c := v.Contacts(&peer.Contacts{})
 		Expect(c.Members).To(HaveLen(9))
@@ -34,10 +34,10 @@
 		Expect(view(100, 30).ContactsOutdated(&c)).To(BeTrue(), "all hosts were replaced")
 	})
 
-	// A zone that is cut off from the others still reaches the store and replaces the
-	// contacts by its own members. After the cut, a host whose seeds are gone finds that
-	// zone only.
-	It("keep those that are out of reach", func() {
+	// A zone that is partitioned from the others still reaches the store and replaces the contacts
+	// with its own members. After the partition, a host whose seeds are gone would discover only
+	// that zone.
+	It("keep unreachable members", func() {
 		all := view(0, 9)
 		c := all.Contacts(&peer.Contacts{})
 		rest := all.Members[0]
@@ -45,9 +45,9 @@
 		Expect(alone.Contacts(&c).Members).To(HaveLen(9))
 	})
 
-	// The contacts were written while only small hosts were known. After a loss of all power
-	// small hosts ask them, which start as late as they do, and wait for nothing.
-	It("are replaced until a zone's largest host is among them", func() {
+	// The contacts were written while only small hosts were known. After a power loss of the whole
+	// system small hosts query them. These start as late as the host itself, so it waits in vain.
+	It("are outdated until a zone's largest host is among them", func() {
 		v := view(0, 9)
 		c := v.Contacts(&peer.Contacts{})
 		members := append([]peer.Member(nil), v.Members...)
@@ -63,7 +63,7 @@
 		Expect(next.LargerInZone("b", 100)).To(BeEmpty())
 	})
 
-	It("stay within their bound, the newest first", func() {
+	It("stay within MaxContacts, the newest first", func() {
 		c := peer.Contacts{}
 		for i := range 30 {
 			c = view(7*i, 9).Contacts(&c)
@@ -73,7 +73,7 @@
 		Expect(c.Members).To(HaveLen(peer.MaxContacts))
 	})
 
-	It("are refused if one can't be reached", func() {
+	It("are refused if one has no valid address", func() {
 		c := peer.Contacts{Members: []peer.Contact{{Name: "host"}}}
 		Expect(c.Check()).To(MatchError(peer.ErrContacts))
 	})
--- a/internal/connection/peer/evacuated_test.go
+++ b/internal/connection/peer/evacuated_test.go
@@ -11,7 +11,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/evacuation"
 )
 
-// evacuatedZones returns so many zones, as of one revision.
+// evacuatedZones returns n evacuated zones as of revision 3.
 func evacuatedZones(n int) evacuation.Zones {
 	list := make([]bundle.Zone, 0, n)
 	for i := range n {
@@ -20,8 +20,8 @@
 	return evacuation.NewZones(list, 3)
 }
 
-var _ = Describe("Evacuated zones in news", func() {
-	It("are told whole if they are few, and by their digest if they aren't", func() {
+var _ = Describe("Evacuated zones in advertisements", func() {
+	It("are listed if they are few, and represented by their digest otherwise", func() {
 		few := evacuatedZones(peer.MaxAdvertisedZones)
 		n := peer.NewAdvertisedZones(&few)
 		Expect(n.Complete()).To(BeTrue())
@@ -32,7 +32,7 @@
 		Expect(n.MissingFrom(&many)).To(BeFalse())
 	})
 
-	It("are refused where they can't be used", func() {
+	It("are refused if they are malformed", func() {
 		n := peer.Advertisement{From: 1, Evacuated: peer.AdvertisedZones{Zones: evacuation.Zones{List: []bundle.Zone{"b", "a"}}}}
 		Expect(n.Check()).To(MatchError(evacuation.ErrZones))
 		c := peer.Catalog{Evacuated: evacuation.Zones{List: []bundle.Zone{""}}}
--- a/internal/connection/peer/fanout.go
+++ b/internal/connection/peer/fanout.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Tree is one of the two trees along which a large zone passes on what its reader
-// tells. A member that has children in one has none in the other, so any one member
-// that dies or stands still hides the word from nobody else: its children hear by the
-// other tree. With a single tree they would all read the store themselves until the
-// membership has noticed.
+// Tree is one of the two trees along which the members of a large zone forward what its store
+// reader advertises. A member that has children in one tree has none in the other. If any one
+// member dies or freezes, all others still receive the advertisement, because its children receive
+// it through the other tree. With a single tree, all members below it would read the store
+// themselves until its failure was detected.
 type Tree uint8
 
 // The trees.
@@ -16,19 +16,19 @@
 )
 
 const (
-	// maxStarMembers is the largest zone whose reader tells each member itself: 31
-	// datagrams of a kilobyte twice a second are 62 KB/s, which the largest host of the
-	// users' zones carries, and the word takes one step.
+	// maxStarMembers is the size of the largest zone whose reader sends to each member itself, so
+	// that an advertisement takes one hop: 31 datagrams of 1 KB twice a second are 62 KB/s, which
+	// the largest host of the users' zones can send.
 	maxStarMembers = 32
-	// fanOut is how many members each one tells in a larger zone, in each tree. A zone
-	// of 100 then takes three steps, one of 1,600 five, and no member sends more than
-	// sixteen datagrams for one.
+	// fanOut is the largest number of children of a member of a larger zone, in each tree. An
+	// advertisement then takes three hops in a zone of 100 members, five in one of 1,600, and no
+	// member sends more than 16 datagrams for it.
 	fanOut = 8
 )
 
-// Recipients returns whom this daemon tells news, in either tree. origin says that it
-// read them itself or has them from another zone; otherwise it passes on what a member
-// of its zone told.
+// Recipients returns the members to which this daemon sends an advertisement, in both trees. origin
+// says that it read the store itself or received the content from another zone. Otherwise it
+// forwards what a member of its own zone sent.
 func (v *View) Recipients(origin bool) []*Member {
 	out := v.Children(TreeForward, origin)
 	for _, m := range v.Children(TreeBackward, origin) {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// Children returns the members that this daemon tells in a tree. In a zone of up to
-// starMembers that is everyone for the origin and nobody for the others.
+// Children returns the members to which this daemon sends in a tree. In a zone of up to
+// maxStarMembers these are all other members for the origin, and none for the others.
 func (v *View) Children(t Tree, origin bool) []*Member {
 	zone := v.zoneInReaderOrder()
 	position := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
@@ -55,7 +55,7 @@
 	}
 	out := children(zone, t, treePosition(t, position, len(zone)))
 	if origin && position > 0 {
-		// It stands in for the first, and tells it too.
+		// The origin acts in place of the first member, and sends to it as well.
 		out = append(out, zone[0])
 		for _, m := range children(zone, t, 0) {
 			if m.ID != v.Self && !slices.Contains(out, m) {
@@ -66,9 +66,9 @@
 	return out
 }
 
-// Parent returns the member that takes this daemon's report, nil for the zone's
-// reader. Parents come before their children in the order of readers, on which all
-// daemons agree, so reports never go round in a circle.
+// Parent returns the member that receives this daemon's report, nil for the zone's store reader.
+// All daemons agree on the order of readers, and a parent comes before its children in it, so
+// reports never go round in a circle.
 func (v *View) Parent() *Member {
 	zone := v.zoneInReaderOrder()
 	position := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
@@ -81,12 +81,12 @@
 	return zone[(position-1)/fanOut]
 }
 
-// Reporters returns the members whose reports this daemon takes up: those of which it is
-// the parent.
+// Reporters returns the members whose reports this daemon aggregates: those of which it is the
+// parent.
 func (v *View) Reporters() []*Member { return v.Children(TreeForward, v.IsZoneReader()) }
 
-// treePosition turns a place in the order of readers into one in a tree, or back. The first
-// is the root of both.
+// treePosition converts a position in the order of readers into one in a tree, or back. The first
+// member is the root of both trees.
 func treePosition(t Tree, position, n int) int {
 	if t == TreeForward || position == 0 {
 		return position
@@ -94,7 +94,7 @@
 	return n - position
 }
 
-// children returns the members below a place in a tree.
+// children returns the members directly below a position in a tree.
 func children(zone []*Member, t Tree, position int) []*Member {
 	var out []*Member
 	for i := fanOut*position + 1; i <= fanOut*position+fanOut && i < len(zone); i++ {
--- a/internal/connection/peer/fanout_test.go
+++ b/internal/connection/peer/fanout_test.go
@@ -10,7 +10,7 @@
 	"github.com/fescueshed/fescueshed/internal/connection/peer"
 )
 
-// zoneOf returns the views of all members of a zone, in the order of readers, beside a
+// zoneViews returns the views of all members of zone a, in reader order. Each view also contains a
 // member of another zone.
 func zoneViews(n int) []*peer.View {
 	members := make([]peer.Member, 0, n+1)
@@ -26,8 +26,8 @@
 	return views
 }
 
-// spread lets the word go from one member to the others, each passing it on once, and
-// returns who heard it, how many steps that took and the most that one member sent.
+// disseminate passes an advertisement from one member to the others, each forwarding it once. It
+// returns who received it, how many hops that took and the most datagrams that one member sent.
 func disseminate(views []*peer.View, origin int, dead map[peer.ID]bool) (received map[peer.ID]bool, hops, most int) {
 	byID := make(map[peer.ID]*peer.View)
 	for _, v := range views {
@@ -51,10 +51,10 @@
 	return received, hops - 1, most
 }
 
-var _ = Describe("The word of a zone's reader", func() {
+var _ = Describe("An advertisement of a zone's reader", func() {
 	sizes := []int{1, 2, 9, 32, 33, 34, 41, 100, 101, 573, 1600}
 
-	It("reaches every member from any origin, in few steps, with few datagrams of each", func() {
+	It("reaches every member from any origin, in few hops, with few datagrams from each", func() {
 		for _, n := range sizes {
 			views := zoneViews(n)
 			for _, origin := range []int{0, n / 2, n - 1} {
@@ -66,19 +66,19 @@
 		}
 	})
 
-	// A member that passes the word on freezes. With one tree its children and theirs
-	// hear nothing, and after two seconds up to 72 hosts read the store at once.
-	It("reaches all others though any one member stands still", func() {
+	// A member that forwards advertisements freezes. With a single tree all members below it would
+	// receive nothing, and after two seconds up to 72 hosts would read the store at the same time.
+	It("reaches all others while any one member is frozen", func() {
 		for _, n := range []int{33, 41, 100} {
 			views := zoneViews(n)
 			for i := 1; i < n; i++ {
 				received, _, _ := disseminate(views, 0, map[peer.ID]bool{views[i].Self: true})
-				Expect(received).To(HaveLen(n-1), "%d members, %d stands still", n, i)
+				Expect(received).To(HaveLen(n-1), "%d members, %d is frozen", n, i)
 			}
 		}
 	})
 
-	It("isn't told by those who only heard it in a small zone, nor to themselves", func() {
+	It("isn't forwarded by its receivers in a small zone, nor sent to the sender itself", func() {
 		for _, n := range sizes {
 			for _, v := range zoneViews(n) {
 				for _, origin := range []bool{false, true} {
@@ -94,7 +94,7 @@
 })
 
 var _ = Describe("Reports", func() {
-	It("go up to the zone's reader without a circle, few to each member", func() {
+	It("go up to the zone's reader without a circle, with few to each member", func() {
 		for _, n := range []int{1, 2, 32, 33, 100, 1600} {
 			views := zoneViews(n)
 			Expect(views[0].Parent()).To(BeNil())
--- a/internal/connection/peer/gossip.go
+++ b/internal/connection/peer/gossip.go
@@ -10,7 +10,7 @@
 	copies int
 }
 
-// apply takes in what was said of a member, by itself or by another.
+// apply processes a claim about a member, made by the member itself or by another one.
 func (m *Membership) apply(u Member, now time.Time) {
 	if u.ID == m.self.ID {
 		m.refute(u)
@@ -27,7 +27,7 @@
 		return
 	}
 	if u.Boot != r.Boot && u.Incarnation > r.Incarnation && r.present() {
-		// The host restarted before its death was noticed: what it held is lost.
+		// The host restarted before its death was detected. The records that it held are lost.
 		m.recordLost(r.Member, now)
 	}
 	if !supersedes(&u, &r.Member) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// ownershipState groups the states between which the homes of flows move: a suspicion
-// that is refuted moves none.
+// ownershipState maps states between which the owners of flows don't change to the same value: a
+// suspicion that is refuted changes no owner.
 func ownershipState(s State) State {
 	if s == StateSuspect {
 		return StateAlive
@@ -61,8 +61,8 @@
 	return s
 }
 
-// supersedes reports whether u says more than what is known: a higher
-// incarnation, or a later state at the same one.
+// supersedes reports whether u is newer than the known state: it has a higher incarnation, or a
+// later state at the same incarnation.
 func supersedes(u, known *Member) bool {
 	if u.Incarnation != known.Incarnation {
 		return u.Incarnation > known.Incarnation
@@ -70,8 +70,8 @@
 	return u.State > known.State
 }
 
-// refute answers a claim about this daemon that isn't true. A claim from an
-// earlier run of it, or of its death, is overruled by a higher incarnation.
+// refute answers a false claim about this daemon. It supersedes a claim that is about an earlier
+// run of this daemon, or that says that it is dead, by taking a higher incarnation.
 func (m *Membership) refute(u Member) {
 	if u.Incarnation < m.self.Incarnation || u.Boot == m.self.Boot && u.State == m.self.State {
 		return
@@ -89,19 +89,19 @@
 	m.epoch++
 }
 
-// withdrawLost takes back the loss of a member that was only out of reach.
+// withdrawLost removes a member from the lost ones that was only unreachable.
 func (m *Membership) withdrawLost(u Member) {
 	m.lost = slices.DeleteFunc(m.lost, func(l lostMember) bool { return l.ID == u.ID && l.Boot == u.Boot })
 }
 
-// enqueueGossip passes an update on with the next messages, in place of older ones of
-// the same member.
+// enqueueGossip queues an update for the next messages. It replaces older updates about the same
+// member.
 func (m *Membership) enqueueGossip(u Member) {
 	m.gossip = slices.DeleteFunc(m.gossip, func(r gossipUpdate) bool { return r.ID == u.ID })
 	m.gossip = append([]gossipUpdate{{Member: u, copies: m.cfg.GossipCopies}}, m.gossip...)
 }
 
-// takeGossip returns at most n updates to pass on.
+// takeGossip returns at most n updates to send and counts them as sent once more.
 func (m *Membership) takeGossip(n int) []Member {
 	var out []Member
 	for i := range m.gossip {
--- a/internal/connection/peer/member.go
+++ b/internal/connection/peer/member.go
@@ -1,5 +1,5 @@
-// Package peer knows the other daemons: who is a member, who of them holds the
-// record of a flow, and the messages by which they find each other alive.
+// Package peer tracks the other daemons: which of them are members, which of them own or replicate
+// the record of a flow, and the messages by which they detect each other's failure.
 package peer
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// ID identifies a host across its restarts. Zero is none.
+// ID identifies a host across its restarts. Zero means no host.
 type ID uint64
 
 // IDOf derives the identifier of a host from its name.
@@ -18,21 +18,21 @@
 	return ID(xxhash.Sum64String(name))
 }
 
-// Incarnation tells a restarted host from its predecessor, and a refuted
-// suspicion from a current one. It grows.
+// Incarnation orders the claims about one host. A host that restarts, or that refutes a suspicion,
+// takes a higher incarnation, which supersedes all claims at a lower one. It grows, unless the clock
+// was set back before a restart.
 type Incarnation uint64
 
-// State is what a member is known to be.
+// State is the state that other members believe a member to be in.
 type State uint8
 
-// The states of a member, in the order in which they overrule each other at
-// the same incarnation.
+// The states of a member. At the same incarnation a later state supersedes an earlier one.
 const (
 	StateAlive State = iota
 	StateLeaving
 	StateSuspect
 	StateDead
-	// StateLeft is a member that ended after handing its records over.
+	// StateLeft is the state of a member that ended after it handed its records over.
 	StateLeft
 	stateEnd
 )
@@ -47,27 +47,27 @@
 	return stateNames[s]
 }
 
-// Member is one daemon as others know it.
+// Member is one daemon as the others know it.
 type Member struct {
-	// The wire form is an array: the names of fields would be most of its bytes.
+	// The wire form is an array, because the names of the fields would take most of its bytes.
 	_    struct{} `cbor:",toarray"`
 	ID   ID
 	Name string
 	Zone bundle.Zone
-	// Data takes Geneve packets, Control takes membership messages (both UDP).
-	// RPC takes JSON-RPC 2.0 connections (TCP).
+	// Data receives Geneve packets, Control receives membership messages (both over UDP). RPC
+	// accepts JSON-RPC 2.0 connections (TCP).
 	Data, Control, RPC netip.AddrPort
 	Incarnation        Incarnation
-	// Boot tells one run of the process from the next, which has no records.
+	// Boot distinguishes one run of the process from the next, which starts without records.
 	Boot  uint64
 	State State
-	// Size is the host's share of a core, in thousandths. Larger hosts do more of
-	// what one daemon does for many.
+	// Size is the host's share of a core, in thousandths. Larger hosts take on more of the work
+	// that one daemon does for many.
 	Size uint32
 }
 
-// Tag tells whether a record was given to this run of the member: a restarted
-// host has lost what its predecessor was told.
+// Tag identifies this run of the member, and is never zero. A record that carries another tag was
+// given to an earlier run: a restarted host has lost the records that it held before.
 func (m *Member) Tag() uint32 {
 	tag := uint32(Mix(uint64(m.ID) ^ m.Boot))
 	if tag == 0 {
@@ -76,12 +76,12 @@
 	return tag
 }
 
-// digest is the member's part of the digest of a membership.
+// digest returns the member's contribution to the digest of a membership.
 func (m *Member) digest() uint64 {
 	return Mix(uint64(m.ID) ^ Mix(m.Boot^Mix(uint64(m.Incarnation)^uint64(m.State)<<56)))
 }
 
-// Mix spreads the bits of x: the finalizer of SplitMix64.
+// Mix distributes the bits of x. It is the finalizer of SplitMix64.
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -10,32 +10,32 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Config holds the times of a Membership. A zero field takes its default.
+// Config holds the times and bounds of a Membership. A zero field takes its default.
 type Config struct {
 	// ProbePeriod is the time between two probes that a daemon sends.
 	ProbePeriod time.Duration
-	// ProbeTimeout is how long it waits for an acknowledgement before it asks
-	// others to probe, and again before it suspects.
+	// ProbeTimeout is how long a daemon waits for an acknowledgement before it requests probes by
+	// helpers, and again before it suspects the member.
 	ProbeTimeout time.Duration
-	// SuspectTimeout is how long a suspected member may refute before it is dead.
+	// SuspectTimeout is how long a suspected member may refute the suspicion before it is declared
+	// dead.
 	SuspectTimeout time.Duration
-	// Helpers is how many others are asked to probe a member that didn't answer.
+	// Helpers is how many other members are asked to probe a member that didn't acknowledge.
 	Helpers int
-	// LostWindow is how long a member that died is remembered as a possible
-	// holder of requests that a caller may repeat.
+	// LostWindow is how long a member that died is remembered as a possible holder of records of
+	// requests that a caller may repeat.
 	LostWindow time.Duration
-	// RecentWindow is how long after a change records are looked for at all who
-	// may hold them.
+	// RecentWindow is how long after a change records are looked up at all members that may hold
+	// them.
 	RecentWindow time.Duration
-	// GossipCopies is how often each update is passed on.
+	// GossipCopies is how many times each update is sent.
 	GossipCopies int
-	// Updates is how many updates one message carries, MaxUpdates at most. In quiet
-	// times there are none to carry, so more of them cost only while members come
-	// and go.
+	// Updates is how many updates one message carries, at most MaxUpdates. While no member joins or
+	// leaves there are no updates to carry, so a larger value costs bytes only during changes.
 	Updates int
 }
 
-// The defaults: a dead member is found in under two seconds at nine members.
+// The defaults. With them a dead member is detected in less than two seconds among nine members.
 const (
 	DefaultProbePeriod    = 250 * time.Millisecond
 	DefaultProbeTimeout   = 100 * time.Millisecond
@@ -44,12 +44,12 @@
 	DefaultLostWindow     = 50 * time.Second
 	DefaultRecentWindow   = 10 * time.Minute
 	DefaultGossipCopies   = 6
-	// DefaultUpdates leaves room for the counts of flows in the same datagram.
+	// DefaultUpdates leaves space for the counts of flows in the same datagram.
 	DefaultUpdates = 4
-	// deadProbePeriods is how many probe periods lie between two probes of a member
-	// that is out of reach, by which a healed network is noticed.
+	// deadProbePeriods is the number of probe periods between two probes of unreachable members, by
+	// which the end of a network partition is detected.
 	deadProbePeriods = 8
-	// forgetDeadAfter is when a member out of reach is no longer probed.
+	// forgetDeadAfter is how long an unreachable member is probed before it is removed.
 	forgetDeadAfter = 24 * time.Hour
 )
 
@@ -72,20 +72,20 @@
 	}
 }
 
-// Envelope is a message and where to send it.
+// Envelope is a message and its destination.
 type Envelope struct {
 	To      netip.AddrPort
 	Message Message
-	// FreshPort asks for a source port that wasn't used before: something between
-	// the two ends may have lost track of the ports used until now, and drops
-	// what they exchange, while a new pair works.
+	// FreshPort requests a source port that wasn't used before. A middlebox between the two ends
+	// may have lost the state of the ports used until now and drop their packets, while a new pair
+	// of ports works.
 	FreshPort bool
 }
 
-// Membership finds out by direct probes who is there, in the shape of SWIM
-// (Das, Gupta, Motivala 2002): each daemon probes one other in turn, so the cost
-// per daemon doesn't grow with their number. It has no socket and no clock and
-// isn't safe for concurrent use.
+// Membership detects by direct probes which members are alive, in the manner of SWIM (Das, Gupta,
+// Motivala 2002): each daemon probes one other member at a time, so the cost per daemon doesn't
+// grow with their number. It has no socket and no clock of its own. It isn't safe for concurrent
+// use.
 type Membership struct {
 	cfg    Config
 	rng    *rand.Rand
@@ -93,7 +93,7 @@
 	bundle bundle.Version
 	flows  []uint32
 	peers  map[ID]*peerState
-	// sortedIDs holds the keys of peers, sorted, so that the same events and the same
+	// sortedIDs holds the keys of peers in ascending order, so that the same events and the same
 	// seed give the same messages. It is replaced, never changed in place.
 	sortedIDs []ID
 	lost      []lostMember
@@ -102,20 +102,20 @@
 	relays    map[uint32]relay
 	seq       uint32
 	ticks     uint64
-	// changedAt is when the set of members last changedAt; zero if never.
+	// changedAt is when the set of members last changed, zero if it didn't within RecentWindow.
 	changedAt time.Time
-	// repeatsPossible is set for the lost window after such a change.
+	// repeatsPossible is true for LostWindow after such a change.
 	repeatsPossible bool
 	nextProbe       time.Time
 	epoch           uint64
-	// servingSeen is set once a member has told that it has a bundle in force.
+	// servingSeen is set once a message of a member that has a bundle in force was received.
 	servingSeen bool
 }
 
 type peerState struct {
 	Member
 	stateSince time.Time
-	// recentlyJoined is set for the recent window after the member joined or restarted.
+	// recentlyJoined is true for RecentWindow after the member joined or restarted.
 	recentlyJoined bool
 	joinedAt       time.Time
 }
@@ -125,7 +125,8 @@
 	lostAt time.Time
 }
 
-// NewMembership returns a membership of which self is the only member.
+// NewMembership returns a membership whose only member is self. Zero fields of cfg take their
+// defaults.
 func NewMembership(cfg Config, self Member, rng *rand.Rand) *Membership {
 	self.State = StateAlive
 	return &Membership{
@@ -139,20 +140,20 @@
 	}
 }
 
-// Epoch grows with each change that View shows.
+// Epoch returns a number that grows with each change that is visible in View.
 func (m *Membership) Epoch() uint64 { return m.epoch }
 
 // Self returns the daemon's own entry.
 func (m *Membership) Self() Member { return m.self }
 
-// SetBundle tells others which version this daemon has in force.
+// SetBundle sets the bundle version that messages to others name as the one in force here.
 func (m *Membership) SetBundle(v bundle.Version) { m.bundle = v }
 
-// SetFlows tells others how many flows this daemon is home of at each upstream.
+// SetFlows sets the counts of flows owned by this daemon at each upstream, as sent to others.
 func (m *Membership) SetFlows(flows []uint32) { m.flows = flows }
 
-// Seed pings hosts of the platform's list that aren't members. The list lags,
-// so a host on it counts only once it has answered.
+// Seed pings those of the platform's hosts that aren't members. The platform's list may be
+// outdated, so a host on it becomes a member only once it has acknowledged.
 func (m *Membership) Seed(hosts []netip.AddrPort) []Envelope {
 	known := make(map[netip.AddrPort]bool, len(m.peers))
 	for _, r := range m.peers {
@@ -167,14 +168,16 @@
 	return out
 }
 
-// AnnounceLeaving marks the daemon as leaving and tells everyone at once.
+// AnnounceLeaving marks the daemon as leaving and returns the messages that announce it to all
+// members immediately.
 func (m *Membership) AnnounceLeaving(now time.Time) []Envelope {
 	m.self.State = StateLeaving
 	m.self.Incarnation++
 	return m.announce(now)
 }
 
-// AnnounceLeft tells everyone that the daemon has handed over all it had.
+// AnnounceLeft marks the daemon as left after it has handed over all its records, and returns the
+// messages that announce it to all members.
 func (m *Membership) AnnounceLeft(now time.Time) []Envelope {
 	m.self.State = StateLeft
 	m.self.Incarnation++
@@ -192,7 +195,7 @@
 	return out
 }
 
-// Tick lets time pass and returns what is to be sent.
+// Tick handles the timeouts that are due at now and returns the messages to send.
 func (m *Membership) Tick(now time.Time) []Envelope {
 	out := m.continueProbe(now)
 	m.expire(now)
@@ -210,7 +213,8 @@
 	return out
 }
 
-// expire turns suspicion into death and forgets what is long past.
+// expire declares suspected members dead after SuspectTimeout and removes entries whose window has
+// passed.
 func (m *Membership) expire(now time.Time) {
 	for _, id := range m.sortedIDs {
 		r := m.peers[id]
@@ -250,7 +254,8 @@
 	}
 }
 
-// Receive handles a message that was sent from the control address from.
+// Receive handles a message that was sent from the control address from, and returns the messages
+// to send.
 func (m *Membership) Receive(now time.Time, from netip.AddrPort, msg *Message) []Envelope {
 	if msg.From.ID == m.self.ID {
 		return nil
@@ -262,8 +267,8 @@
 	}
 	var out []Envelope
 	if old := m.peers[msg.From.ID]; old != nil && needsRefutation(old, &msg.From) {
-		// The sender doesn't know what it is taken for: tell it, so that it can refute
-		// with a higher incarnation.
+		// The sender isn't aware of the state in which others hold it. It is sent that state, so
+		// that it can refute it with a higher incarnation.
 		m.enqueueGossip(old.Member)
 	}
 	switch msg.Kind {
@@ -279,10 +284,11 @@
 	return out
 }
 
-// needsRefutation reports whether what is known of a member is wrong though its incarnation
-// is not lower than the one that the member gives itself: it is taken for dead, or for
-// an earlier run of its process. The latter comes of a time of day that jumped back
-// before the restart; a leaving member that was killed would be leaving for good.
+// needsRefutation reports whether the known state of a member is wrong although its incarnation
+// isn't lower than the one that the member itself claims: the member is believed dead, or its entry
+// is that of an earlier run of its process. The latter happens if the clock was set back before the
+// restart. Without a refutation a leaving member that was killed and restarted would stay leaving
+// permanently.
 func needsRefutation(known *peerState, claimed *Member) bool {
 	if known.Incarnation < claimed.Incarnation {
 		return false
@@ -290,9 +296,9 @@
 	return !known.present() || known.Boot != claimed.Boot
 }
 
-// Merge takes in members that another daemon knows. Those that are new here aren't passed on:
-// who told them has done so, and a daemon that joins a fleet of 195 would else repeat all of
-// them to each of its first hundred partners.
+// Merge adds or updates members that another daemon knows. Those that are new here aren't gossiped:
+// the sender has done so already, and a daemon that joins a fleet of 195 would otherwise repeat all
+// of them to each of its first hundred partners.
 func (m *Membership) Merge(now time.Time, members []Member) {
 	added := false
 	for i := range members {
@@ -302,7 +308,7 @@
 		case m.peers[u.ID] != nil:
 			m.apply(*u, now)
 		case u.present():
-			m.peers[u.ID] = newRecord(*u, now)
+			m.peers[u.ID] = newPeerState(*u, now)
 			added = true
 		}
 	}
@@ -312,15 +318,15 @@
 	}
 }
 
-// ServingMemberSeen reports whether a member that has a bundle in force was heard.
+// ServingMemberSeen reports whether a message of a member that has a bundle in force was received.
 func (m *Membership) ServingMemberSeen() bool { return m.servingSeen }
 
-// PingAddress pings a daemon that may not be a member yet, so that it knows of this one.
+// PingAddress pings a daemon that may not be a member yet, so that it learns of this one.
 func (m *Membership) PingAddress(at netip.AddrPort) []Envelope { return []Envelope{m.ping(at)} }
 
-// BootstrapMembers returns the members that a newcomer of a zone is told of first: those who read
-// the store before others in its zone, and the first of the whole system. By them it finds who
-// can tell it the rest.
+// BootstrapMembers returns the members that a joining member of a zone is sent first: the first
+// readers of the store in its zone, and the first reader of the other zones. From these it can
+// request the rest.
 func (m *Membership) BootstrapMembers(zone bundle.Zone, joining ID) []Member {
 	var own []*Member
 	var first *Member
@@ -344,7 +350,8 @@
 	return out
 }
 
-// presentMembers returns the members that are there, this daemon first.
+// presentMembers returns the members that are neither dead nor left, this daemon first. The
+// pointers refer to the membership's own entries.
 func (m *Membership) presentMembers() []*Member {
 	out := []*Member{&m.self}
 	for _, id := range m.sortedIDs {
@@ -356,15 +363,15 @@
 }
 
 const (
-	// maxBootstrapMembers is how many members of a newcomer's zone it is told of: two may be starting
-	// or gone.
+	// maxBootstrapMembers is the number of members of its own zone that a joining member is sent:
+	// two of them may be starting or may have left.
 	maxBootstrapMembers = 3
-	// bootstrapWindow is how long after a member joined it is told of these with each answer. While
-	// a whole system starts, the largest may come after the first answers.
+	// bootstrapWindow is how long after a member joined it is sent these with each acknowledgement.
+	// While a whole system starts, the largest hosts may join after the first acknowledgements.
 	bootstrapWindow = 3 * time.Second
 )
 
-// Members returns all members that are there, this daemon first.
+// Members returns all members that are neither dead nor left, this daemon first.
 func (m *Membership) Members() []Member {
 	list := m.presentMembers()
 	out := make([]Member, 0, len(list))
@@ -374,8 +381,8 @@
 	return out
 }
 
-// Digest is a sum over the members that are there, with their runs and states. Two
-// daemons with one digest know the same members.
+// Digest returns a sum over the present members with their runs and states. Two daemons with the
+// same digest know the same members.
 func (m *Membership) Digest() uint64 {
 	sum := m.self.digest()
 	for _, r := range m.peers {
@@ -392,7 +399,8 @@
 	m.epoch++
 }
 
-// acknowledge acknowledges a ping. One that joined lately is told who can tell it more.
+// acknowledge returns the acknowledgement of a ping. If the sender joined recently, it carries the
+// members from which the sender can request more.
 func (m *Membership) acknowledge(to netip.AddrPort, ping *Message, now time.Time) Envelope {
 	var known []Member
 	if r := m.peers[ping.From.ID]; r != nil && now.Sub(r.joinedAt) < bootstrapWindow {
@@ -406,7 +414,7 @@
 	return m.envelopeWith(to, k, seq, nil)
 }
 
-// envelopeWith makes a message whose updates begin with given ones.
+// envelopeWith returns a message whose updates begin with those in first.
 func (m *Membership) envelopeWith(to netip.AddrPort, k Kind, seq uint32, first []Member) Envelope {
 	msg := Message{
 		Kind:    k,
@@ -421,12 +429,12 @@
 	return Envelope{To: to, Message: msg}
 }
 
-func newRecord(u Member, now time.Time) *peerState {
+func newPeerState(u Member, now time.Time) *peerState {
 	return &peerState{Member: u, stateSince: now, recentlyJoined: true, joinedAt: now}
 }
 
 func (m *Membership) add(u Member, now time.Time) {
-	m.peers[u.ID] = newRecord(u, now)
+	m.peers[u.ID] = newPeerState(u, now)
 	m.sortIDs()
 }
 
@@ -439,7 +447,7 @@
 	m.sortedIDs = slices.Sorted(maps.Keys(m.peers))
 }
 
-// present reports whether the member is there, as far as is known.
+// present reports whether the member is neither dead nor left, as far as is known.
 func (m *Member) present() bool {
 	return m.State != StateDead && m.State != StateLeft
 }
--- a/internal/connection/peer/membership_test.go
+++ b/internal/connection/peer/membership_test.go
@@ -11,14 +11,14 @@
 )
 
 var _ = Describe("Membership", func() {
-	It("finds all members from a list that names a few", func() {
+	It("discovers all members from a list of a few", func() {
 		w := links.New(9, 1)
 		Expect(w.Until(5*time.Second, w.Agreed)).To(BeNumerically("<", 5*time.Second))
 	})
 
-	// A caller waits longer than for one retransmission. A balancer dies without
-	// notice and the others go on sending to it.
-	It("finds a dead member within two seconds at nine members", func() {
+	// A balancer dies without notice, and the others continue to send to it. A caller would wait
+	// longer than for one retransmission.
+	It("detects a dead member within two seconds at nine members", func() {
 		for seed := range uint64(20) {
 			w := links.New(9, seed)
 			w.Until(10*time.Second, w.Agreed)
@@ -28,9 +28,9 @@
 		}
 	})
 
-	// Sessions move about for nothing. Datagrams are lost and processes are
-	// paused for a moment, and members that live are taken for dead.
-	It("takes no member for dead in an hour of loss and short pauses", func() {
+	// Datagrams are lost and processes are paused for a moment. If members that are alive were
+	// declared dead, sessions would change their owner for no reason.
+	It("declares no member dead in an hour of packet loss and short pauses", func() {
 		w := links.New(9, 3)
 		w.Until(10*time.Second, w.Agreed)
 		w.Run(2 * time.Second)
@@ -45,9 +45,9 @@
 		}
 	})
 
-	// A flow is placed twice. A host is killed and is back before a probe failed;
-	// the others must learn that its records are lost.
-	It("tells a restarted host from its predecessor", func() {
+	// A host is killed and restarts before a probe fails. The others must detect that its records
+	// are lost, or a flow is placed twice.
+	It("distinguishes a restarted host from its earlier run", func() {
 		w := links.New(9, 4)
 		w.Until(10*time.Second, w.Agreed)
 		w.Boot(w.Members[2])
@@ -60,16 +60,16 @@
 		}
 	})
 
-	// A host that was told to stop is killed before it ended and starts again, and its
-	// time of day has jumped back meanwhile. Its new incarnation is lower than the one
-	// that others know, so they would take it for leaving for as long as it runs: it
-	// would never read the store or report for its zone, however large it is.
-	It("isn't taken for leaving after a restart with a clock that jumped back", func() {
+	// A leaving host is killed before it has left and restarts with a clock that was set back. Its
+	// new incarnation is lower than the one that others know, so without a refutation they would
+	// believe it to be leaving as long as it runs: it would never read the store or report for its
+	// zone.
+	It("doesn't believe a host to be leaving after it restarted with a clock that was set back", func() {
 		w := links.New(9, 8)
 		w.Until(10*time.Second, w.Agreed)
 		m := w.Members[3]
 		w.Send(m, m.AnnounceLeaving(w.Now))
-		w.Run(5 * time.Second) // Until nobody passes it on any more.
+		w.Run(5 * time.Second) // Until no member gossips it any more.
 		m.Clock = -time.Hour
 		w.Boot(m)
 		w.Run(5 * time.Second)
@@ -79,7 +79,7 @@
 		}
 	})
 
-	It("serves on in each zone of a cut, and finds itself whole after it", func() {
+	It("continues in each zone of a partition, and is complete again after it", func() {
 		w := links.New(9, 5)
 		w.Until(10*time.Second, w.Agreed)
 		w.Cut = func(a, b *links.Member) bool { return a.Host.Zone != b.Host.Zone }
@@ -97,7 +97,7 @@
 		}
 	})
 
-	It("shows a leaving member as leaving everywhere, and then as gone without loss", func() {
+	It("shows a leaving member as leaving everywhere, and then as left without loss", func() {
 		w := links.New(9, 6)
 		w.Until(10*time.Second, w.Agreed)
 		m := w.Members[3]
--- a/internal/connection/peer/message.go
+++ b/internal/connection/peer/message.go
@@ -8,53 +8,53 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Kind says what a membership message asks for.
+// Kind is the type of a membership message.
 type Kind uint8
 
 // The kinds of a membership message.
 const (
-	// KindPing asks the receiver to answer with KindAck.
+	// KindPing requests a KindAck from the receiver.
 	KindPing Kind = iota + 1
 	KindAck
-	// KindPingRequest asks the receiver to ping Target for the sender.
+	// KindPingRequest requests that the receiver pings Target on behalf of the sender.
 	KindPingRequest
 	kindEnd
 )
 
 // Limits of a message.
 const (
-	// MaxUpdates is how many updates one message carries at most.
+	// MaxUpdates is the largest number of updates in one message.
 	MaxUpdates = 12
-	// MaxMessageBytes is the size that no message exceeds.
+	// MaxMessageBytes is the largest size of an encoded message.
 	MaxMessageBytes = 1400
 	maxNameBytes    = 64
-	// MaxFlowCounts bounds Flows. It is more than the upstreams of one cell.
+	// MaxFlowCounts bounds Message.Flows. It is more than the number of upstreams of one cell.
 	MaxFlowCounts = 400
 )
 
-// Message is what daemons send each other over UDP to find out who is there.
+// Message is the failure detector's message, which daemons send each other over UDP.
 type Message struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
 	Seq  uint32
-	// From is the sender as it is now.
+	// From is the sender in its present state.
 	From Member
-	// Target is whom to ping for the sender, or on whose behalf an
-	// acknowledgement is passed on.
+	// Target is the member to ping for the sender, or the member on whose behalf an acknowledgement
+	// is forwarded.
 	Target netip.AddrPort
 	// Bundle is the version that the sender has in force.
 	Bundle bundle.Version
-	// Flows counts the flows that the sender is home of at each upstream of that
-	// version, in the order of their identifiers. Only KindPing carries them.
+	// Flows counts the flows that the sender owns at each upstream of that version, in the order of
+	// the upstreams' identifiers. Only KindPing carries them.
 	Flows []uint32
-	// Updates are what the sender heard of other members.
+	// Updates are states of other members that the sender passes on.
 	Updates []Member
 }
 
-// ErrMessage is returned for a message of a member that can't be used.
+// ErrMessage is returned for a member's message whose content is invalid.
 var ErrMessage = eris.New("peer: malformed message")
 
-// Check reports whether a decoded member can be used.
+// Check returns ErrMessage if a decoded member is invalid.
 func (m *Member) Check() error {
 	switch {
 	case m.ID == 0 || m.State >= stateEnd || len(m.Name) > maxNameBytes:
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Check implements the check of a wire type.
+// Check returns ErrMessage if the message or one of the members in it is invalid.
 func (m *Message) Check() error {
 	if m.Kind == 0 || m.Kind >= kindEnd || len(m.Updates) > MaxUpdates || len(m.Flows) > MaxFlowCounts {
 		return ErrMessage
--- a/internal/connection/peer/packed.go
+++ b/internal/connection/peer/packed.go
@@ -12,15 +12,15 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// PackedUpdate is a bundle.Update in the form in which daemons tell it: compressed CBOR (RFC 1951,
-// RFC 8949). Routes are alike, so a whole bundle takes a small part of its bytes like this.
+// PackedUpdate is a bundle.Update as daemons send it: CBOR (RFC 8949), compressed by DEFLATE (RFC
+// 1951). Routes resemble each other, so a whole bundle compresses to a small part of its size.
 type PackedUpdate []byte
 
-// maxUnpacked bounds what an update may unpack to: a bundle of the largest object that the store
-// takes, in the form that takes most.
+// maxUnpacked bounds the size of an unpacked update, in bytes. It allows for a bundle of the
+// largest object that the store accepts, in its most verbose form.
 const maxUnpacked = 8 << 20
 
-// PackUpdate packs an update.
+// PackUpdate encodes and compresses an update.
 func PackUpdate(u *bundle.Update) (PackedUpdate, error) {
 	src, err := cbor.Marshal(u)
 	if err != nil {
@@ -37,7 +37,8 @@
 	return out.Bytes(), eris.Wrap(err, "peer: pack")
 }
 
-// Unpack reads what PackUpdate wrote.
+// Unpack decodes what PackUpdate returned. It returns ErrMessage if the result is larger than
+// maxUnpacked.
 func (p PackedUpdate) Unpack() (*bundle.Update, error) {
 	r := flate.NewReader(bytes.NewReader(p))
 	src, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
@@ -55,17 +56,19 @@
 	return u, eris.Wrap(dec.Unmarshal(src, u), "peer: unpack")
 }
 
-// Packer packs updates once, however many members ask for them: 57 that do so at once would keep
-// the one that tells them busy for a third of a second. It is safe for concurrent use; the zero
-// value is ready.
+// Packer packs each update once, however many members request it: 57 simultaneous requests would
+// otherwise keep the sender busy for a third of a second. It is safe for concurrent use, and its
+// zero value is ready to use.
 type Packer struct {
 	mu sync.Mutex
-	// to is the version that all in packed lead to, by the version that they lead on from.
+	// to is the version to which all updates in packed lead. The key of packed is the version from
+	// which an update leads there.
 	to     bundle.Version
 	packed map[bundle.Version]PackedUpdate
 }
 
-// Pack returns the update in packed form.
+// Pack returns the update in packed form, from the cache if possible. Updates to an earlier target
+// version are dropped from the cache.
 func (p *Packer) Pack(u *bundle.Update) (PackedUpdate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connection/peer/packed_test.go
+++ b/internal/connection/peer/packed_test.go
@@ -23,17 +23,17 @@
 		})
 	}
 	if err := b.Check(); err != nil {
-		panic(err) // All that tests make is good.
+		panic(err) // All bundles that the tests make are valid.
 	}
 	return bundle.FullUpdate(bundle.Accepted{Version: v, Bundle: b})
 }
 
-func TestPackedUpdateIsReadAsItWasWritten(t *testing.T) {
+func TestPackedUpdateRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	u := wholeOf(7, 3000)
 	p, err := peer.PackUpdate(u)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(len(p)).To(BeNumerically("<", 100_000), "all daemons that start together are told it by a few")
+	g.Expect(len(p)).To(BeNumerically("<", 100_000), "a few daemons send it to all that start at the same time")
 	got, err := p.Unpack()
 	g.Expect(err).NotTo(HaveOccurred())
 	a, err := got.Apply(bundle.Accepted{})
@@ -42,8 +42,9 @@
 	g.Expect(a.Bundle.Routes).To(Equal(u.Routes))
 }
 
-// A member that another release or a fault made write nonsense must not take a daemon's memory.
-func TestPackedUpdateIsBounded(t *testing.T) {
+// A member of another release, or a faulty one, sends a malformed update. Unpacking it must not
+// exhaust a daemon's memory.
+func TestUnpackBoundsSize(t *testing.T) {
 	g := NewWithT(t)
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
@@ -57,8 +58,8 @@
 	g.Expect(err).To(MatchError(peer.ErrMessage))
 }
 
-// Many members ask for the same at the same moment, and the one that tells them would pack it for each
-// while its packets wait.
+// Many members request the same update at the same moment. If the sender packed it for each of
+// them, its packets would wait.
 func TestPackerPacksOnce(t *testing.T) {
 	g := NewWithT(t)
 	var p peer.Packer
@@ -84,7 +85,7 @@
 			return
 		}
 		if a, err := u.Apply(bundle.Accepted{}); err == nil && a.Bundle.Digest() != u.Digest {
-			t.Fatal("took a bundle that isn't the one that was told")
+			t.Fatal("accepted a bundle that differs from the one that was sent")
 		}
 	})
 }
--- a/internal/connection/peer/probe.go
+++ b/internal/connection/peer/probe.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// probe is the one probe in progress.
+// probe is the probe in progress. There is at most one.
 type probe struct {
 	target   ID
 	seq      uint32
@@ -14,15 +14,15 @@
 	indirect bool
 }
 
-// relay is a probe made for another member.
+// relay is a probe made on behalf of another member.
 type relay struct {
 	to  netip.AddrPort
 	seq uint32
 	at  time.Time
 }
 
-// continueProbe goes on with the probe in progress: after one timeout it asks helpers,
-// after the next it suspects the member.
+// continueProbe handles the timeouts of the probe in progress. After the first timeout it requests
+// probes by helpers and repeats its own, after the second one it suspects the member.
 func (m *Membership) continueProbe(now time.Time) []Envelope {
 	if m.probe.target == 0 || now.Sub(m.probe.at) < m.cfg.ProbeTimeout {
 		return nil
@@ -62,16 +62,16 @@
 		e.Message.Target = target.Control
 		out = append(out, e)
 	}
-	// The direct way is tried again too: one lost datagram is no failure.
+	// The direct probe is repeated as well, because the loss of one datagram is not a failure.
 	e := m.envelope(target.Control, KindPing, m.probe.seq)
 	e.FreshPort = true
 	return append(out, e)
 }
 
-// startProbe pings the member whose turn it is. All present members stand in a
-// ring, and in each period everyone probes the one that is a common distance
-// away, so each member is probed once a period. If everyone chose by chance,
-// a dead member would now and then be probed by nobody for a second.
+// startProbe pings the next member. All present members form a ring in the order of their
+// identifiers. In each period every member probes the one at the same distance along the ring, so
+// each member is probed once per period. If members chose their targets at random, a dead member
+// would occasionally be probed by nobody for a second.
 func (m *Membership) startProbe(now time.Time) []Envelope {
 	ring := []ID{m.self.ID}
 	for _, id := range m.sortedIDs {
@@ -92,8 +92,8 @@
 	return []Envelope{e}
 }
 
-// probeDead pings one member that is out of reach, so that both sides of a cut
-// find each other again without the platform.
+// probeDead pings one member that is unreachable, so that both sides of a network partition detect
+// each other after it heals, without the platform.
 func (m *Membership) probeDead() []Envelope {
 	var dead []ID
 	for _, id := range m.sortedIDs {
--- a/internal/connection/peer/reader.go
+++ b/internal/connection/peer/reader.go
@@ -9,11 +9,11 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// ReaderRank returns the place of this daemon among those that may read the store, 0
-// being the one that reads it for all. The first of each zone, the zone's reader,
-// comes after those of zones whose readers come before it; the others follow by their
-// place in their zone. The largest hosts come first, since telling others costs most
-// there, and daemons that leave come last.
+// ReaderRank returns the rank of this daemon among those that may read the store. Rank 0 reads it
+// for all. The first member of each zone, the zone's reader, ranks after the readers of other zones
+// that come before it in reader order. The other members of a zone rank by their position in the
+// zone. Larger hosts come first, since the reader also bears the cost of sending to others, and
+// leaving daemons come last.
 func (v *View) ReaderRank() int {
 	self := v.byID[v.Self]
 	if self == nil {
@@ -31,8 +31,8 @@
 	return rank
 }
 
-// IsZoneReader reports whether this daemon is the first of its zone: it hears the
-// reader of all and tells its zone.
+// IsZoneReader reports whether this daemon is the first of its zone, which receives what the reader
+// of all zones advertises and sends it to its zone.
 func (v *View) IsZoneReader() bool {
 	self := v.byID[v.Self]
 	return self == nil || v.zoneRank(self) == 0
@@ -48,14 +48,14 @@
 	return rank
 }
 
-// RanksBefore reports whether another daemon comes before this one as a reader. A
-// daemon that isn't known yet doesn't.
+// RanksBefore reports whether the daemon id comes before this one in reader order. It returns false
+// for a daemon that isn't known.
 func (v *View) RanksBefore(id ID) bool {
 	self, o := v.byID[v.Self], v.byID[id]
 	return self != nil && o != nil && compareReaders(o, self) < 0
 }
 
-// ZoneMembers returns the other members of this daemon's zone, first readers first.
+// ZoneMembers returns the other members of this daemon's zone in reader order.
 func (v *View) ZoneMembers() []*Member {
 	zone := v.zoneInReaderOrder()
 	position := slices.IndexFunc(zone, func(m *Member) bool { return m.ID == v.Self })
@@ -65,8 +65,8 @@
 	return without(zone, position)
 }
 
-// zoneInReaderOrder returns all members of this daemon's zone, first zoneInReaderOrder first. It is nil if
-// the daemon itself isn't a member.
+// zoneInReaderOrder returns all members of this daemon's zone in reader order. It is nil if the
+// daemon itself isn't a member.
 func (v *View) zoneInReaderOrder() []*Member {
 	v.ownZoneOnce.Do(func() {
 		self := v.byID[v.Self]
@@ -102,9 +102,9 @@
 	return slices.SortedFunc(maps.Values(first), compareReaders)
 }
 
-// CatalogSources returns the members that a daemon which starts asks in turn: the first readers of its
-// zone and of the others by turns, since a zone that starts as a whole knows nothing before its
-// first reader has heard another zone's.
+// CatalogSources returns the members from which a starting daemon requests the catalog, in turn.
+// First readers of its own zone alternate with readers of the other zones, because a zone that
+// starts as a whole has no content before its first reader has received it from another zone.
 func (v *View) CatalogSources() []*Member {
 	own, others := v.ZoneMembers(), v.OtherZoneReaders()
 	var out []*Member
@@ -119,9 +119,11 @@
 	return out
 }
 
-// maxCatalogSources is how many members are asked in turn.
+// maxCatalogSources is how many members are queried in turn.
 const maxCatalogSources = 4
 
+// compareReaders defines the reader order: members that aren't leaving come first, then larger ones.
+// Among equals the identifier decides.
 func compareReaders(a, b *Member) int {
 	return cmp.Or(
 		cmp.Compare(stayRank(b), stayRank(a)),
@@ -137,69 +139,70 @@
 	return 1
 }
 
-// ReaderElection decides whether a daemon reads the store itself or relies on what
-// another one tells. There is no election: who hears nothing fresh
-// reads, the first in rank soonest, and stops when somebody before it in rank tells
-// fresh news. A reader that died, stands still, is cut off or is turned away by the
-// store is silent all the same, so each of these ends in the same take-over. It
-// isn't safe for concurrent use.
+// ReaderElection decides whether a daemon reads the store itself or relies on the advertisements of
+// another one. Nobody votes: a daemon that receives no recent advertisement starts to read, the one
+// with the best rank soonest, and stops when a daemon that ranks before it advertises recent
+// content. A reader that is dead, frozen, partitioned or refused by the store sends nothing in each
+// of these cases, so each leads to the same takeover. It isn't safe for concurrent use.
 type ReaderElection struct {
 	reading bool
-	// lastReceived is as of when others told the store's content, lastFromHigherRank as of when those
-	// before this daemon in rank did.
-	lastReceived, lastFromHigherRank time.Time
-	// storeLostAt is when a daemon that reads was last known to live and to have no answer from the store.
+	// lastReceived is the time as of which other daemons last advertised the store's content,
+	// lastFromRankedBefore the same for daemons that rank before this one.
+	lastReceived, lastFromRankedBefore time.Time
+	// storeLostAt is when a daemon that reads was last known to be alive and without an answer from
+	// the store.
 	storeLostAt time.Time
 }
 
-// Times of the take-over. With a watch of 800 ms, news every 500 ms and a hop by the
-// zone's reader, fresh news is up to 1.4 s old. A configuration must be in force within 3 s of the store's
-// acknowledgement at the users' smallest bound: the third in rank reads after
+// Times of the takeover. With a watch of 800 ms, advertisements every 500 ms and a hop through the
+// zone's reader, recent content is up to 1.4 s old. A configuration must be in force within 3 s of
+// the store's acknowledgement, which is the users' smallest bound. The third in rank reads after
 // 2.2 s.
 const (
 	takeOverAfter = 1800 * time.Millisecond
 	takeOverStep  = 200 * time.Millisecond
-	// takeOverSteps bounds the delay: who is further back starts with the fourth.
+	// takeOverSteps bounds the delay: the fourth in rank and all behind it wait equally long.
 	takeOverSteps = 3
-	// storeLostStep lies between one rank and the next beyond takeOverSteps if those before say that the
-	// store doesn't answer: it won't answer this one either, unless it turns just those away. Without it
-	// a store that refuses calls is asked by every daemon. lostRanks bounds the wait,
-	// should the store serve only who is far back.
+	// storeLostStep is the additional delay per rank beyond takeOverSteps while daemons that rank
+	// before report that the store doesn't answer. It is unlikely to answer this one either, unless
+	// it refuses just those. Without this delay every daemon would call a store that refuses calls.
+	// storeLostRanks bounds the delay, in case the store serves only daemons far back in rank.
 	storeLostStep  = time.Second
 	storeLostRanks = 8
-	// storeLostWindow is how long such a word counts: two periods of the reports that carry it, and the
-	// way.
+	// storeLostWindow is how long such a report counts: two periods of the reports that carry it,
+	// and their transit time.
 	storeLostWindow = 1200 * time.Millisecond
-	// maxFreshAge is how old the word of a better reader may be for this one to stop.
+	// maxFreshAge is the age up to which content advertised by a daemon that ranks before makes
+	// this one stop reading.
 	maxFreshAge = 1500 * time.Millisecond
 )
 
-// Received notes that another daemon told the store's content as of a time. before
-// says that it stands before this one in rank.
-func (r *ReaderElection) Received(asOf time.Time, higherRank bool) {
+// Received records that another daemon advertised the store's content as of a time. ranksBefore says
+// that the other daemon ranks before this one.
+func (r *ReaderElection) Received(asOf time.Time, ranksBefore bool) {
 	if asOf.After(r.lastReceived) {
 		r.lastReceived = asOf
 	}
-	if higherRank && asOf.After(r.lastFromHigherRank) {
-		r.lastFromHigherRank = asOf
+	if ranksBefore && asOf.After(r.lastFromRankedBefore) {
+		r.lastFromRankedBefore = asOf
 	}
 }
 
-// ReportStoreLost notes that a daemon which reads lives and has no answer from the store.
+// ReportStoreLost records that a daemon which reads the store is alive and has no answer from it.
 func (r *ReaderElection) ReportStoreLost(at time.Time) { r.storeLostAt = at }
 
-// StoreReportedLost reports whether that was told lately.
+// StoreReportedLost reports whether ReportStoreLost was called within storeLostWindow.
 func (r *ReaderElection) StoreReportedLost(now time.Time) bool {
 	return now.Sub(r.storeLostAt) <= storeLostWindow
 }
 
-// ShouldRead reports whether this daemon, which stands at a rank, reads the store now.
+// ShouldRead reports whether this daemon, which has the given rank, reads the store now.
 func (r *ReaderElection) ShouldRead(rank int, now time.Time) bool {
 	switch {
 	case rank == 0:
 		r.reading = true
 	case r.reading:
-		r.reading = now.Sub(r.lastFromHigherRank) > maxFreshAge
+		r.reading = now.Sub(r.lastFromRankedBefore) > maxFreshAge
 	default:
 		wait := takeOverAfter + time.Duration(min(rank, takeOverSteps))*takeOverStep
 		if r.StoreReportedLost(now) {
@@ -210,24 +213,24 @@
 	return r.reading
 }
 
-// Pauses after calls of the store that failed.
+// Pauses after failed calls of the store.
 const (
-	// minRetry and maxRetry bound the pause of the first in rank. Every call is paid
-	// for, also one that is refused; a store that comes back is found within the longer.
+	// minRetry and maxRetry bound the pause of the first in rank. Every call is paid for, even if
+	// it is refused. A store that is available again is noticed within the longer pause.
 	minRetry = 200 * time.Millisecond
 	maxRetry = time.Second
-	// retryRanks is by how many ranks the longest pause grows by maxRetry: the calls of
-	// all daemons together then grow with the logarithm of their number. A store that
-	// is away is asked 9 times a second by a zone of 26, where all with the same
-	// pause asked 35 times.
+	// retryRanks is the number of ranks over which the longest pause grows by maxRetry. The calls
+	// of all daemons together then grow with the logarithm of their number. A zone of 26 calls an
+	// unavailable store 9 times a second, instead of 35 times if all had the same pause.
 	retryRanks = 3
-	// maxRetryRank bounds that growth: one of so many finds a way to the store that
-	// those before it haven't, as when the store turns them away.
+	// maxRetryRank bounds that growth. One of so many daemons may reach the store when those that
+	// rank before it can't, for example because the store refuses them.
 	maxRetryRank = 60
 )
 
-// RetryPause returns how long a daemon at a rank waits after so many failed calls in a
-// row. It is spread by a factor of 0.5 to 1.5, of which part, 0 to 1, says how much.
+// RetryPause returns how long a daemon with a rank waits after the given number of consecutive
+// failed calls. The pause is multiplied by a factor between 0.5 and 1.5, which jitter (0 to 1)
+// selects.
 func RetryPause(rank, failures int, jitter float64) time.Duration {
 	longest := maxRetry * time.Duration(retryRanks+min(rank, maxRetryRank)) / retryRanks
 	pause := longest
@@ -237,5 +240,5 @@
 	return time.Duration((0.5 + jitter) * float64(pause))
 }
 
-// maxDoublings is when the pause of any rank is its longest.
+// maxDoublings is the number of failures from which the pause of any rank is its longest.
 const maxDoublings = 8
--- a/internal/connection/peer/reader_test.go
+++ b/internal/connection/peer/reader_test.go
@@ -13,12 +13,12 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-var _ = Describe("Reading the store for a zone", func() {
+var _ = Describe("Reader election", func() {
 	member := func(name string, zone bundle.Zone, size uint32) peer.Member {
 		return peer.Member{ID: peer.IDOf(name), Name: name, Zone: zone, Size: size, State: peer.StateAlive}
 	}
 
-	It("falls to the largest host of the zone that stays", func() {
+	It("elects the largest host of the zone that isn't leaving", func() {
 		members := []peer.Member{
 			member("small", "a", 60),
 			member("large", "a", 800),
@@ -36,7 +36,7 @@
 		Expect(view("large").ReaderRank()).To(Equal(1))
 	})
 
-	It("falls to one daemon of all zones, and the readers of the others follow it", func() {
+	It("elects one daemon of all zones, and the readers of the other zones rank behind it", func() {
 		members := []peer.Member{
 			member("a1", "a", 80), member("a2", "a", 60),
 			member("b1", "b", 70), member("c1", "c", 60),
@@ -47,10 +47,11 @@
 
 	now := time.Unix(1_000_000, 0)
 
-	// The store refuses all calls for 6.5 s. After 2.4 s without news every daemon would ask it,
-	// and go on asking: 195 daemons make 1,500 calls more, each refused and each paid for, and add
-	// to what the store is short of. The first few say that they live and get no answer.
-	It("is taken over by few while the first say that the store doesn't answer", func() {
+	// The store refuses all calls for 6.5 s. If every daemon called it after 2.4 s without an
+	// advertisement and kept doing so, 195 daemons would make 1,500 additional calls, each refused
+	// and paid for, on an overloaded store. The first few readers report that it doesn't answer
+	// them.
+	It("lets few daemons take over while the first report that the store doesn't answer", func() {
 		const zone, outage = 43, 6500 * time.Millisecond
 		readers := func(reported bool) int {
 			n := 0
@@ -73,9 +74,9 @@
 		Expect(readers(true)).To(Equal(6))
 	})
 
-	// The store serves only daemons that are far back, and turns those before them away for good.
-	// A bundle would never reach the zone.
-	It("is taken over in the end though the first have no answer", func() {
+	// The store serves only daemons far back in rank and refuses those before them permanently. If
+	// those far back never tried, a bundle would never reach the zone.
+	It("lets daemons far back in rank take over eventually while the first have no answer", func() {
 		var r peer.ReaderElection
 		r.Received(now, true)
 		r.ReportStoreLost(now.Add(10 * time.Second))
@@ -84,8 +85,8 @@
 		Expect(r.ShouldRead(42, now.Add(10500*time.Millisecond))).To(BeTrue())
 	})
 
-	// The daemon that said so dies. Its word must not hold the others back.
-	It("is taken over at once when nobody says any more that the store doesn't answer", func() {
+	// The daemon that reported so dies. Its last report must not hold the others back.
+	It("lets others take over immediately when nobody reports any more that the store doesn't answer", func() {
 		var r peer.ReaderElection
 		r.Received(now, true)
 		r.ReportStoreLost(now.Add(1500 * time.Millisecond))
@@ -93,9 +94,9 @@
 		Expect(r.ShouldRead(42, now.Add(2800*time.Millisecond))).To(BeTrue())
 	})
 
-	// The reader freezes, is cut off, or is turned away by the store. No error shows
-	// it to the others; a bundle would reach the zone only when it is back.
-	It("is taken over by the next in rank when no fresh news are heard", func() {
+	// The reader freezes, is partitioned, or is refused by the store. The others see no error, and
+	// a bundle would reach the zone only after the reader has recovered.
+	It("lets the next in rank take over when no recent advertisement is received", func() {
 		for rank, after := range map[int]time.Duration{1: 2 * time.Second, 2: 2200 * time.Millisecond, 20: 2400 * time.Millisecond} {
 			var r peer.ReaderElection
 			r.Received(now, true)
@@ -104,7 +105,7 @@
 		}
 	})
 
-	It("ends when one before in rank tells fresh news again, not when one behind does", func() {
+	It("stops a reader when one that ranks before it advertises again, not when one that ranks behind does", func() {
 		var r peer.ReaderElection
 		Expect(r.ShouldRead(2, now)).To(BeTrue())
 		r.Received(now.Add(time.Second), false)
@@ -114,18 +115,18 @@
 		Expect(r.ShouldRead(0, now.Add(time.Second))).To(BeTrue(), "the first always reads")
 	})
 
-	It("is decided before the users' smallest bound of three seconds by every rank", func() {
+	It("decides before the users' smallest bound of three seconds at every rank", func() {
 		var r peer.ReaderElection
 		r.Received(now, true)
 		Expect(r.ShouldRead(1_000_000, now.Add(2500*time.Millisecond))).To(BeTrue())
 	})
 })
 
-var _ = Describe("Calls of a store that fails", func() {
-	// The store is away for half a minute and all daemons of a zone look for it. Each
-	// call is paid for, and when it comes back it refuses most for want of a rate. The
-	// first in rank find it just as soon, and tell the others.
-	It("grow with the logarithm of the daemons, and the first still make them often", func() {
+var _ = Describe("Calls to an unavailable store", func() {
+	// The store is unavailable for half a minute and all daemons of a zone call it. Each call is
+	// paid for, and a store that is available again refuses most of them for exceeding its rate.
+	// The first in rank notice its return just as soon, and send the content to the others.
+	It("grow with the logarithm of the number of daemons, and the first in rank still call often", func() {
 		perSecond := func(members int) float64 {
 			sum := 0.0
 			for rank := range members {
@@ -135,13 +136,13 @@
 		}
 		Expect(perSecond(26)).To(BeNumerically("<", 9))
 		Expect(perSecond(60)).To(BeNumerically("<", 10))
-		Expect(perSecond(1600)-perSecond(60)).To(BeNumerically("<", 80), "each of the rest asks every 20 s or so")
+		Expect(perSecond(1600)-perSecond(60)).To(BeNumerically("<", 80), "each of the rest calls about every 20 s")
 		for rank := range 3 {
 			Expect(peer.RetryPause(rank, 100, 1)).To(BeNumerically("<=", 2500*time.Millisecond))
 		}
 	})
 
-	It("begin soon at any rank, are spread, and never come without a pause", func() {
+	It("are retried soon at any rank, with jitter, and never without a pause", func() {
 		Expect(peer.RetryPause(40, 0, 0)).To(Equal(100 * time.Millisecond))
 		Expect(peer.RetryPause(40, 0, 1)).To(Equal(300 * time.Millisecond))
 		for failures := range 200 {
@@ -150,25 +151,25 @@
 	})
 })
 
-var _ = Describe("News", func() {
-	// A member hears fresh news of a bundle that it can't fetch, takes them for its
-	// zone's word, and routes by the old bundle for good.
-	It("lack what they announce and the member doesn't hold", func() {
+var _ = Describe("Advertisement", func() {
+	// A member receives recent advertisements of a bundle that it can't fetch. If they counted as
+	// received, it would keep routing by the old bundle permanently.
+	It("reports what is missing from a member that doesn't hold the advertised content", func() {
 		n := peer.Advertisement{Bundle: 7, AsOf: 100, Digest: 5}
-		lacks := func(v bundle.Version, asOf objects.Position, digest uint64) [2]bool {
+		missing := func(v bundle.Version, asOf objects.Position, digest uint64) [2]bool {
 			b, l := n.MissingFrom(v, asOf, digest)
 			return [2]bool{b, l}
 		}
-		Expect(lacks(7, 100, 5)).To(Equal([2]bool{false, false}))
-		Expect(lacks(6, 100, 5)).To(Equal([2]bool{true, false}))
-		Expect(lacks(8, 101, 6)).To(Equal([2]bool{false, false}), "the member is ahead")
-		Expect(lacks(7, 100, 6)).To(Equal([2]bool{false, true}))
-		Expect(lacks(7, 99, 6)).To(Equal([2]bool{false, true}))
+		Expect(missing(7, 100, 5)).To(Equal([2]bool{false, false}))
+		Expect(missing(6, 100, 5)).To(Equal([2]bool{true, false}))
+		Expect(missing(8, 101, 6)).To(Equal([2]bool{false, false}), "the member is newer")
+		Expect(missing(7, 100, 6)).To(Equal([2]bool{false, true}))
+		Expect(missing(7, 99, 6)).To(Equal([2]bool{false, true}))
 	})
 })
 
 var _ = Describe("A daemon that joins", func() {
-	It("knows at once whom another knows", func() {
+	It("immediately knows all members that another daemon knows", func() {
 		known := newMembership("known")
 		for i := range 70 {
 			m := newMembership(string(rune('A' + i))).Self()
@@ -179,7 +180,7 @@
 		joining.Merge(time.Unix(2, 0), known.Members())
 		Expect(joining.View().Members).To(HaveLen(72))
 		known.Merge(time.Unix(2, 0), joining.Members())
-		Expect(joining.Digest()).To(Equal(known.Digest()), "then nothing more is sent")
+		Expect(joining.Digest()).To(Equal(known.Digest()), "with equal digests nothing more is sent")
 	})
 })
 
--- a/internal/connection/peer/replay.go
+++ b/internal/connection/peer/replay.go
@@ -9,26 +9,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrReplayed is returned for a message that was received before, or that is older than what
-// could still be told apart.
-var ErrReplayed = eris.New("peer: message was received before")
+// ErrReplayed is returned for a message that was received before, or whose number is too old to
+// tell whether it was.
+var ErrReplayed = eris.New("peer: replayed message")
 
-// replayWindow is how many numbers below the highest one are told apart. A daemon that reads the
-// store for a zone of 300 sends each of its members one message of 300, so a datagram that is
-// passed by the next one is 300 numbers behind.
+// replayWindow is how many numbers below the highest one are tracked. A daemon that reads the store
+// for a zone of 300 sends each of its members one message out of 300, so a datagram that is
+// overtaken by the next one is 300 numbers behind.
 const replayWindow = 1024
 
-// maxSenders bounds the senders that are remembered: those of the largest fleet in one cell,
-// each with some restarts.
+// maxSenders bounds the number of tracked senders: those of the largest fleet in one cell, each
+// with a few restarts.
 const maxSenders = 4096
 
-// window is what was received of one sender (RFC 4303, section 3.4.3).
+// window is the anti-replay window of one sender (RFC 4303, section 3.4.3).
 type window struct {
 	highest uint64
 	seen    [replayWindow / 64]uint64
 }
 
-// accept reports whether a number is new, and notes it.
+// accept reports whether a number is new, and marks it as received.
 func (w *window) accept(n uint64) bool {
 	switch {
 	case n > w.highest:
@@ -40,7 +40,7 @@
 	return true
 }
 
-// advance clears what leaves the window.
+// advance moves the window up to n and clears the numbers that it takes in.
 func (w *window) advance(n uint64) {
 	from, to := w.highest/64+1, n/64
 	if to-w.highest/64 >= uint64(len(w.seen)) {
@@ -53,25 +53,26 @@
 	w.highest = n
 }
 
-// SequencedCodec is a Codec whose messages carry a number of their sender's run, so that one that
-// somebody recorded and sends again is refused. Without it, old news that come again would look
-// fresh: members would wait for a reader of the store that is gone, and keep an old bundle.
-// It is safe for concurrent use.
+// SequencedCodec is a Codec whose messages carry a sequence number and an identifier of the
+// sender's run, so that a message that somebody recorded and sends again is refused. Otherwise an
+// old advertisement that is replayed would look recent: members would wait for a store reader that
+// has died, and keep an old bundle. It is safe for concurrent use.
 type SequencedCodec[T any, P checked[T]] struct {
 	*Codec[T, P]
-	// run tells one start of the sender from the next.
+	// run distinguishes one start of the sender from the next.
 	run        uint64
 	lastNumber atomic.Uint64
 
-	// mu guards what follows. It is a leaf.
+	// mu guards windows. It is a leaf: no other lock is taken while it is held.
 	mu      sync.Mutex
 	windows map[uint64]*window
 }
 
-// numberBytes are those of a run and a number, big-endian, before the authentication code.
+// numberBytes is the size of a run and a number, both big-endian, which precede the authentication
+// code.
 const numberBytes = 16
 
-// NewSequencedCodec returns a codec like NewCodec for messages that arrive once.
+// NewSequencedCodec returns a codec like NewCodec whose messages are accepted only once.
 func NewSequencedCodec[T any, P checked[T]](keys Keys, d Domain) (*SequencedCodec[T, P], error) {
 	c, err := NewCodec[T, P](keys.Seal, d)
 	if err != nil {
@@ -81,18 +82,19 @@
 	return &SequencedCodec[T, P]{Codec: c, run: rand.Uint64(), windows: make(map[uint64]*window)}, nil
 }
 
-// Encode writes a message with the next number.
+// Encode returns the encoded message with the next sequence number and its authentication code.
 func (c *SequencedCodec[T, P]) Encode(m P) ([]byte, error) {
 	b, err := c.enc.Marshal(m)
 	if err != nil {
-		return nil, eris.Wrap(err, "peer")
+		return nil, eris.Wrap(err, "peer: encode message")
 	}
 	b = binary.BigEndian.AppendUint64(b, c.run)
 	b = binary.BigEndian.AppendUint64(b, c.lastNumber.Add(1))
 	return c.seal(b), nil
 }
 
-// Decode checks and reads what Encode wrote. It returns ErrReplayed for what came before.
+// Decode authenticates, decodes and checks a message that Encode returned. It returns ErrReplayed
+// for a message that was received before.
 func (c *SequencedCodec[T, P]) Decode(b []byte) (P, error) {
 	b, err := c.open(b)
 	if err != nil {
@@ -114,7 +116,7 @@
 	w := c.windows[run]
 	if w == nil {
 		if len(c.windows) >= maxSenders {
-			clear(c.windows) // Only members get here; runs of long ago are most of them.
+			clear(c.windows) // Only members' messages get here, so most entries are of runs that ended long ago.
 		}
 		w = &window{}
 		c.windows[run] = w
--- a/internal/connection/peer/replay_test.go
+++ b/internal/connection/peer/replay_test.go
@@ -25,9 +25,9 @@
 var _ = Describe("A message between daemons", func() {
 	first, second := peer.Keys{Seal: []byte("first secret here")}, peer.Keys{Seal: []byte("second secret here")}
 
-	// Somebody on the control network records the word of the reader of the store and sends it
-	// again after that daemon has died. Members think that the reader lives, nobody reads the
-	// store, and an old bundle stays in force.
+	// Somebody on the control network records an advertisement of the store reader and sends it
+	// again after that daemon has died. If members accepted it, they would think that the reader is
+	// alive, nobody would read the store, and an old bundle would stay in force.
 	It("is refused if it comes a second time", func() {
 		from, to := sequenced(first), sequenced(first)
 		b := sealed(from)
@@ -51,7 +51,8 @@
 		Expect(err).To(MatchError(peer.ErrReplayed))
 	})
 
-	// Datagrams pass each other on the way. The earlier one is no replay.
+	// Datagrams are reordered in transit. The earlier one is no replay. This test's title is also
+	// the name of a folder in testdata/rapid.
 	It("is taken once in any order, as by one that remembers all numbers", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			from, to := sequenced(first), sequenced(first)
@@ -72,7 +73,7 @@
 		})
 	})
 
-	It("is taken late, though one of its place in the window came long before", func() {
+	It("is accepted late, although an earlier number at its position in the window was received long before", func() {
 		from, to := sequenced(first), sequenced(first)
 		var late []byte
 		for i := range 1100 {
@@ -88,7 +89,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("of a daemon that started again isn't taken for one of before", func() {
+	It("of a restarted daemon isn't taken for one of its earlier run", func() {
 		to := sequenced(first)
 		for range 3 {
 			_, err := to.Decode(sealed(sequenced(first)))
@@ -96,9 +97,9 @@
 		}
 	})
 
-	// Somebody who knows the protocol but not the secret writes news of their own, or changes
-	// a bit of a daemon's.
-	It("by a forger is refused", func() {
+	// Somebody who knows the protocol but not the secret writes an advertisement, or changes a bit
+	// of a daemon's message.
+	It("that is forged is refused", func() {
 		to := sequenced(first)
 		_, err := to.Decode(sealed(sequenced(second)))
 		Expect(err).To(MatchError(peer.ErrMAC))
@@ -115,8 +116,8 @@
 		}
 	})
 
-	// Operators replace the secret while daemons run. At each step some have the new settings
-	// and others don't; if one can't read another, members are taken for dead.
+	// Operators replace the secret while daemons run. At each step some daemons have the new
+	// settings and others don't. If one can't read another's messages, members are declared dead.
 	It("is read by daemons that are one step apart when the secret is replaced", func() {
 		steps := []peer.Keys{
 			first,
@@ -131,7 +132,7 @@
 			}
 		}
 		_, err := sequenced(steps[3]).Decode(sealed(sequenced(steps[1])))
-		Expect(err).To(MatchError(peer.ErrMAC), "the old secret is worth nothing any more")
+		Expect(err).To(MatchError(peer.ErrMAC), "the old secret is no longer accepted")
 	})
 
 	It("is read by a running daemon whose secrets change", func() {
--- a/internal/connection/peer/rpc.go
+++ b/internal/connection/peer/rpc.go
@@ -13,8 +13,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/transfer"
 )
 
-// ServeRPC serves JSON-RPC 2.0 to other daemons over TCP until the clean-up
-// function is called.
+// ServeRPC serves JSON-RPC 2.0 to other daemons over TCP until the returned function is called.
+// That function waits until all connections are closed.
 func ServeRPC(ctx context.Context, at netip.AddrPort, h jsonrpc2.Handler) (func(), error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", at.String())
@@ -48,8 +48,8 @@
 	}
 }
 
-// CallRPC makes one call to another daemon and decodes its result into a T. It is given up when the
-// answer doesn't begin in the time that l gives it, or stops coming; counts has the rest.
+// CallRPC makes one call to another daemon and decodes its result into a T. The call is aborted if
+// the answer doesn't begin within l.Begin, or stalls for l.Stall. counts records the transfer.
 func CallRPC[T any](
 	ctx context.Context, to netip.AddrPort, call RPC, l transfer.Limits, counts *transfer.Counts,
 ) (T, *transfer.Transfer, error) {
@@ -58,7 +58,7 @@
 	return out, t, eris.Wrap(t.End(err), "rpc")
 }
 
-// RPC is a call: a method and what it is told.
+// RPC is a call: a method and its parameters.
 type RPC struct {
 	Method string
 	Params any
@@ -77,7 +77,7 @@
 	return out, conn.Call(ctx, call.Method, call.Params, &out)
 }
 
-// watchedConn is a connection of which a transfer watches what arrives.
+// watchedConn is a connection whose received bytes pass through a transfer.
 type watchedConn struct {
 	net.Conn
 	in io.Reader
@@ -86,7 +86,7 @@
 // Read implements io.Reader.
 func (c watchedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
 
-// noHandler ignores requests on a connection that only calls.
+// noHandler ignores requests on a connection that only makes calls.
 type noHandler struct{}
 
 // Handle implements jsonrpc2.Handler.
--- a/internal/connection/peer/rpc_test.go
+++ b/internal/connection/peer/rpc_test.go
@@ -16,7 +16,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/transfer"
 )
 
-// answerSlowly answers one call in parts, a tenth of a second apart, and stops after some of them.
+// answerSlowly answers one call in parts, a tenth of a second apart, and stops after stopAfter of
+// them. It returns its address.
 func answerSlowly(t *testing.T, parts, stopAfter int) netip.AddrPort {
 	t.Helper()
 	var lc net.ListenConfig
@@ -37,7 +38,7 @@
 				break
 			}
 			if _, err := c.Write([]byte(answer[i*size : min(len(answer), (i+1)*size)])); err != nil {
-				return // The caller gave up.
+				return // The calling side aborted the call.
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -47,8 +48,9 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// A bundle never reaches a daemon of either carriage that is behind a thin link: what another one tells
-// takes longer than the call may take, and is thrown away though it was coming.
+// A daemon is behind a slow link, and the answer of another daemon takes longer than the call may
+// take. If the call were aborted although the answer is still arriving, a bundle would never reach
+// the daemon. This applies to both data paths.
 func TestCallRPC(t *testing.T) {
 	const parts = 20
 	limits := transfer.Limits{FirstByteTimeout: time.Second, StallTimeout: time.Second}
@@ -56,9 +58,9 @@
 		stopAfter int
 		want      error
 	}{
-		"takes an answer that goes on coming":   {stopAfter: parts},
-		"gives up an answer that stops":         {stopAfter: 3, want: transfer.ErrStalled},
-		"gives up an answer that doesn't begin": {stopAfter: 0, want: transfer.ErrStalled},
+		"accepts an answer that keeps arriving": {stopAfter: parts},
+		"aborts on an answer that stalls":       {stopAfter: 3, want: transfer.ErrStalled},
+		"aborts on an answer that never begins": {stopAfter: 0, want: transfer.ErrStalled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/connection/peer/snapshot.go
+++ b/internal/connection/peer/snapshot.go
@@ -6,7 +6,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// View returns the present view.
+// View returns a view of the present members.
 func (m *Membership) View() *View {
 	members := m.Members()
 	zones := make(map[bundle.Zone]bool)
--- a/internal/connection/peer/start_test.go
+++ b/internal/connection/peer/startup_test.go
@@ -18,25 +18,25 @@
 	first := peer.Startup{StartedAt: began, FirstStart: true}
 	later := peer.Startup{StartedAt: began}
 
-	// All hosts of a fleet start together and nobody asks anything of them yet. If each read
-	// the store, 195 of them would make 1,750 calls, where one that tells the others makes 9.
+	// All hosts of a fleet start together, and no caller waits yet. If each read the store, 195 of
+	// them would make 1,750 calls, whereas one that sends the content to the others makes 9.
 	It("reads the store only if it must", func() {
 		for name, c := range map[string]struct {
 			start peer.Startup
 			n     peer.StartupState
 			after time.Duration
 		}{
-			"callers wait":                  {first, peer.StartupState{CallersWaiting: true, Rank: 9, Others: 40}, 0},
-			"first of all":                  {first, peer.StartupState{Rank: 0, Others: 40}, time.Second},
-			"knows no other one":            {first, peer.StartupState{}, 1200 * time.Millisecond},
-			"second in rank, nobody tells":  {first, peer.StartupState{Rank: 1, Others: 40}, 2550 * time.Millisecond},
-			"fortieth, nobody tells":        {first, peer.StartupState{Rank: 40, Others: 40}, 4500 * time.Millisecond},
-			"thousandth, nobody tells":      {first, peer.StartupState{Rank: 1000, Others: 1000}, 5500 * time.Millisecond},
-			"all come back, nobody serves":  {later, peer.StartupState{Rank: 9, Others: 40}, 20 * time.Millisecond},
-			"all come back, alone":          {later, peer.StartupState{}, 20 * time.Millisecond},
-			"one of many, others serve":     {later, peer.StartupState{ServingMemberSeen: true, Rank: 40, Others: 40}, 4500 * time.Millisecond},
-			"one of many, first of all":     {later, peer.StartupState{ServingMemberSeen: true, Others: 40}, time.Second},
-			"one of many, but callers wait": {later, peer.StartupState{CallersWaiting: true, ServingMemberSeen: true, Others: 40}, 0},
+			"callers wait":             {first, peer.StartupState{CallersWaiting: true, Rank: 9, Others: 40}, 0},
+			"first in rank":            {first, peer.StartupState{Rank: 0, Others: 40}, time.Second},
+			"knows no other member":    {first, peer.StartupState{}, 1200 * time.Millisecond},
+			"rank 1, no catalog":       {first, peer.StartupState{Rank: 1, Others: 40}, 2550 * time.Millisecond},
+			"rank 40, no catalog":      {first, peer.StartupState{Rank: 40, Others: 40}, 4500 * time.Millisecond},
+			"rank 1000, no catalog":    {first, peer.StartupState{Rank: 1000, Others: 1000}, 5500 * time.Millisecond},
+			"all restart, none serves": {later, peer.StartupState{Rank: 9, Others: 40}, 20 * time.Millisecond},
+			"all restart, alone":       {later, peer.StartupState{}, 20 * time.Millisecond},
+			"serving, rank 40":         {later, peer.StartupState{ServingMemberSeen: true, Rank: 40, Others: 40}, 4500 * time.Millisecond},
+			"serving, first in rank":   {later, peer.StartupState{ServingMemberSeen: true, Others: 40}, time.Second},
+			"serving, callers wait":    {later, peer.StartupState{CallersWaiting: true, ServingMemberSeen: true, Others: 40}, 0},
 		} {
 			if c.after > 0 {
 				Expect(c.start.ShouldRead(c.n, began.Add(c.after-time.Millisecond))).To(BeFalse(), name)
@@ -45,15 +45,15 @@
 		}
 	})
 
-	It("asks only larger members for a long list while callers wait", func() {
+	It("requests a long list only from larger members while callers wait", func() {
 		Expect(peer.IsLargerSource(800, 61)).To(BeTrue())
 		Expect(peer.IsLargerSource(61, 61)).To(BeFalse())
 		Expect(peer.IsLargerSource(100, 61)).To(BeFalse())
-		Expect(peer.IsLargerSource(0, 61)).To(BeFalse(), "a contact of an older daemon doesn't tell its size")
+		Expect(peer.IsLargerSource(0, 61)).To(BeFalse(), "a contact that an older daemon wrote has no size")
 	})
 })
 
-var _ = Describe("Introductions", func() {
+var _ = Describe("Bootstrap members", func() {
 	now := time.Unix(1_000_000, 0)
 	member := func(name string, zone bundle.Zone, size uint32, n byte) peer.Member {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, n}), 7000)
@@ -73,9 +73,9 @@
 		return out
 	}
 
-	// A host is restarted. It knows three seeds, all in other zones. Until gossip has told it of
-	// its own zone, which takes seconds, it would read the store for itself.
-	It("name the first readers of the newcomer's zone in the answer to its first ping", func() {
+	// A host restarts. It knows three seeds, all in other zones. Gossip about its own zone takes
+	// seconds, and until then it would read the store itself.
+	It("contain the first readers of the joining member's zone in the answer to its first ping", func() {
 		seed := membership(member("seed", "b", 60, 1), peer.MaxUpdates)
 		all := make([]peer.Member, 0, 23)
 		for i := range 20 {
@@ -94,7 +94,7 @@
 		Expect(len(received)).To(BeNumerically("<=", peer.MaxUpdates))
 	})
 
-	It("stay within what one message carries", func() {
+	It("stay within the updates of one message", func() {
 		seed := membership(member("seed", "a", 60, 1), 2)
 		seed.Merge(now, []peer.Member{
 			member("a1", "a", 60, 2), member("a2", "a", 60, 3), member("a3", "a", 60, 4), member("b1", "b", 60, 5),
@@ -104,7 +104,7 @@
 		Expect(out[0].Message.Updates).To(HaveLen(2))
 	})
 
-	It("end once the newcomer has had time to ask", func() {
+	It("are no longer sent once the joining member has had time to request the rest", func() {
 		seed := membership(member("seed", "a", 60, 1), peer.MaxUpdates)
 		joining := member("new", "a", 60, 99)
 		ping := &peer.Message{Kind: peer.KindPing, From: joining}
@@ -112,15 +112,15 @@
 		seed.Merge(now, []peer.Member{member("a1", "a", 60, 2)})
 		Expect(seed.Receive(now.Add(2*time.Second), joining.Control, ping)[0].Message.Updates).NotTo(BeEmpty())
 		later := now.Add(4 * time.Second)
-		for range 20 { // Gossip about the newcomer itself runs out.
+		for range 20 { // Until the gossip about the joining member itself is used up.
 			seed.Receive(later, joining.Control, ping)
 		}
 		Expect(seed.Receive(later, joining.Control, ping)[0].Message.Updates).To(BeEmpty())
 	})
 
-	// 195 hosts start and each is told of all others. If each passed that on, every one would
-	// send and take in some hundred full messages of what all know.
-	It("and whole lists aren't passed on by gossip", func() {
+	// 195 hosts start and each receives the list of all others. If each gossiped that list, every
+	// host would send and receive about a hundred full messages of members that all know.
+	It("and whole lists aren't gossiped", func() {
 		m := membership(member("self", "a", 60, 1), peer.MaxUpdates)
 		all := make([]peer.Member, 0, 30)
 		for i := range 30 {
--- a/internal/connection/peer/sum.go
+++ b/internal/connection/peer/sum.go
@@ -7,20 +7,22 @@
 	"time"
 )
 
-// Loads are told each StartupReportPeriod in the first two seconds of a daemon. All hosts may have lost
-// power; each then places what callers held back in half a second, knowing nothing of the
-// others. With loads told each half second only, all send to the same upstreams in that time,
-// which shed while others have room.
+// StartupReportPeriod is the time between two reports of loads in the first two seconds of a daemon
+// (startupReportWindow). All hosts may have lost power. Each then places the flows that callers
+// held back within half a second, without knowing the placements of the others. If loads were sent
+// each half second only, all would send to the same upstreams in that time, which would shed
+// requests while others have free capacity.
 const (
 	StartupReportPeriod = 100 * time.Millisecond
 	startupReportWindow = 2 * time.Second
 )
 
-// UsesStartupReportPeriod reports whether a daemon that started so long ago tells loads each EagerPeriod.
+// UsesStartupReportPeriod reports whether a daemon that started so long ago sends its loads each
+// StartupReportPeriod.
 func UsesStartupReportPeriod(sinceStart time.Duration) bool { return sinceStart < startupReportWindow }
 
-// SumReports adds up what several daemons count, the busiest upstreams first, within the
-// limits of a Report.
+// SumReports adds up the counts of several daemons, within the limits of a Report. It keeps the
+// upstreams with the most flows.
 func SumReports(from ID, reports []*Report) *Report {
 	out := &Report{From: from}
 	loads := make(map[uint32]Load)
@@ -49,7 +51,8 @@
 	return out
 }
 
-// TopLoads returns the loads with most flows, as many as fit a report.
+// TopLoads returns the loads with the most flows, as many as fit in a report. It sorts list in
+// place.
 func TopLoads(list []Load) []Load {
 	slices.SortFunc(list, func(a, b Load) int {
 		return cmp.Or(cmp.Compare(b.Flows, a.Flows), cmp.Compare(a.Cookie, b.Cookie))
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -10,53 +10,55 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// FlowHash is the hash of a flow's key by which members are ranked. All
-// daemons compute the same.
+// FlowHash is the hash of a flow's key by which members are ranked. All daemons compute the same
+// hash.
 type FlowHash uint64
 
-// score ranks a member for a flow (rendezvous hashing): the highest comes first.
+// score ranks a member for a flow by rendezvous hashing. The member with the highest score ranks
+// first.
 func score(h FlowHash, id ID) uint64 {
 	return Mix(uint64(h) ^ uint64(id))
 }
 
-// View is what one daemon knows of the members at one moment. It doesn't change
-// once made and is safe for concurrent use.
+// View is a snapshot of the members as one daemon knows them. It is immutable and safe for
+// concurrent use.
 type View struct {
 	Self ID
-	// Members are alive, suspected or leaving, the daemon itself among them.
+	// Members are the members that are alive, suspected or leaving, including the daemon itself.
 	Members []Member
 	Changes
 	zones []bundle.Zone
-	// staying holds the places in Members of those that don't leave, and scores what
-	// their identifiers add to a flow's hash; Home reads them for each packet.
+	// staying holds the indexes in Members of the members that aren't leaving, and stayingIDs their
+	// identifiers in the same order. Owner reads both for each packet.
 	staying    []int32
 	stayingIDs []uint64
 	byID       map[ID]*Member
 	byAddr     map[netip.Addr]*Member
-	// zone is made when it is first asked for, see readers.
+	// ownZone is computed on first use, see zoneInReaderOrder.
 	ownZoneOnce sync.Once
 	ownZone     []*Member
 }
 
-// Changes is what happened to the members lately.
+// Changes describes the recent changes of the membership.
 type Changes struct {
-	// RecentlyChanged is set for some time after any change.
+	// RecentlyChanged is true for Config.RecentWindow after any change.
 	RecentlyChanged bool
-	// RepeatsPossible is set for as long after a change as a caller may repeat a message
-	// that went through another home before it.
+	// RepeatsPossible is true after a change for as long as a caller may repeat a message whose
+	// first copy went through the flow's previous owner.
 	RepeatsPossible bool
-	// Lost are members that went without handing over.
+	// Lost are members that died without handing over their records.
 	Lost []Member
-	// RecentlyJoined are members that joined or restarted lately: records that the ranking
-	// gives them may still be with the next one.
+	// RecentlyJoined are members that joined or restarted recently. Records that the ranking
+	// assigns to them may still be at the member that ranks next.
 	RecentlyJoined []ID
-	// UnreachableZones are those whose known members are all out of reach.
+	// UnreachableZones are the zones of which no known member can be reached.
 	UnreachableZones []bundle.Zone
-	// UnreachableMembers are the members of those zones. They may live and decide.
+	// UnreachableMembers are the members of those zones. They may be alive and still decide on
+	// flows.
 	UnreachableMembers []Member
 }
 
-// NewView makes the view of the daemon self.
+// NewView returns the view of the daemon self. It keeps members without a copy.
 func NewView(self ID, members []Member, c Changes) *View {
 	v := &View{
 		Self:    self,
@@ -84,20 +86,20 @@
 	}
 }
 
-// CanReach reports whether the upstreams of a zone can be reached, as far as its
-// members tell.
+// CanReach reports whether the upstreams of a zone can be reached. It infers this from whether any
+// member of the zone can be reached.
 func (v *View) CanReach(z bundle.Zone) bool {
 	return !slices.Contains(v.UnreachableZones, z)
 }
 
-// Member returns the member with an identifier, or nil.
+// Member returns the member with the identifier, or nil.
 func (v *View) Member(id ID) *Member { return v.byID[id] }
 
 // MemberAt returns the member that sends Geneve packets from a, or nil.
 func (v *View) MemberAt(a netip.Addr) *Member { return v.byAddr[a] }
 
-// Owner returns the member that decides for a flow: the first in rank of those
-// who stay. If all are leaving, the first of these.
+// Owner returns the member that decides for a flow: the highest ranked of the members that aren't
+// leaving. If all are leaving, it is the highest ranked of these.
 func (v *View) Owner(h FlowHash) *Member {
 	if len(v.stayingIDs) == 0 {
 		return v.highestRanked(h, filter{includeLeaving: true})
@@ -111,9 +113,9 @@
 	return &v.Members[v.staying[best]]
 }
 
-// Backup returns the member that keeps the second record of a flow whose
-// upstream is in zone z: the first in rank there besides the home, or anywhere
-// if that zone has no other member. It is nil if there is no other member.
+// Backup returns the member that holds the second record of a flow whose upstream is in zone z: the
+// highest ranked member of that zone besides the owner, or of all zones if that zone has no other
+// member. It is nil if there is no other member at all.
 func (v *View) Backup(h FlowHash, z bundle.Zone, owner ID) *Member {
 	if m := v.highestRanked(h, filter{zone: z, exclude: owner}); m != nil {
 		return m
@@ -121,25 +123,24 @@
 	return v.highestRanked(h, filter{exclude: owner})
 }
 
-// placerSalt keeps the placer of a service apart from the homes of its flows.
+// placerSalt makes the choice of a service's placer independent of the owners of its flows.
 const placerSalt = 0x706c616365
 
-// Placer returns the member that chooses the upstreams for the new flows of a
-// service, so that one place knows all of them.
+// Placer returns the member that chooses the upstreams for the new flows of a service, so that one
+// daemon knows all placements of the service.
 func (v *View) Placer(s bundle.VNI) *Member {
 	return v.Owner(FlowHash(Mix(uint64(s) ^ placerSalt)))
 }
 
-// Replica returns the member of zone z that keeps a copy of a flow's record, so
-// that the zone knows the flow when it is cut off: the first in rank there
-// besides the home. In the upstream's zone that is the backup. It is nil if the
-// zone has no other member.
+// Replica returns the member of zone z that holds a copy of a flow's record, so that the zone still
+// has the record when it is partitioned from the others: the highest ranked member there besides
+// the owner. In the upstream's zone this is the backup. It is nil if the zone has no other member.
 func (v *View) Replica(h FlowHash, z bundle.Zone, owner ID) *Member {
 	return v.highestRanked(h, filter{zone: z, exclude: owner})
 }
 
-// IsWatcher reports whether this daemon is among the first n of its zone, who
-// watch the platform for all.
+// IsWatcher reports whether this daemon is among the first n members of its zone, by identifier.
+// These watch the platform on behalf of all.
 func (v *View) IsWatcher(n int) bool {
 	self := v.byID[v.Self]
 	if self == nil {
@@ -155,7 +156,7 @@
 	return before < n
 }
 
-// IsReplica reports whether this daemon keeps its zone's copy of a flow's record.
+// IsReplica reports whether this daemon holds its zone's copy of a flow's record.
 func (v *View) IsReplica(h FlowHash, owner ID) bool {
 	self := v.byID[v.Self]
 	if self == nil {
@@ -165,11 +166,12 @@
 	return m != nil && m.ID == v.Self
 }
 
-// Zones returns the zones of the members, in a fixed order for this view.
+// Zones returns the zones of the members, in an order that is fixed for this view.
 func (v *View) Zones() []bundle.Zone { return v.zones }
 
-// OwnerMayBeUnreachable reports whether the flow's home would be in a zone that is cut off:
-// new flows that this side doesn't know may have been placed on that side.
+// OwnerMayBeUnreachable reports whether an unreachable member ranks above the flow's owner in this
+// view. If so, the other side of the partition may have placed flows that this side has no record
+// of.
 func (v *View) OwnerMayBeUnreachable(h FlowHash) bool {
 	if len(v.UnreachableMembers) == 0 {
 		return false
@@ -187,16 +189,16 @@
 	return false
 }
 
-// filter says which members are ranked. The zero value takes all that stay.
+// filter selects the members to rank. The zero value selects all members that aren't leaving.
 type filter struct {
-	// zone leaves only its members if it isn't empty.
+	// zone selects only the members of this zone, if it isn't empty.
 	zone    bundle.Zone
 	exclude ID
-	// includeLeaving takes those that leave too.
+	// includeLeaving selects leaving members too.
 	includeLeaving bool
-	// excludeRecent leaves out fresh members.
+	// excludeRecent excludes members that joined or restarted recently.
 	excludeRecent bool
-	// belowScore leaves those whose score is less, if it isn't zero.
+	// belowScore selects only members with a lower score, if it isn't zero.
 	belowScore uint64
 }
 
@@ -210,7 +212,7 @@
 	return !f.excludeRecent || !slices.Contains(v.RecentlyJoined, m.ID)
 }
 
-// highestRanked returns the highestRanked in rank of the members that pass, or nil.
+// highestRanked returns the highest ranked of the members that match the filter, or nil.
 func (v *View) highestRanked(h FlowHash, f filter) *Member {
 	var best *Member
 	var bestScore uint64
@@ -230,18 +232,18 @@
 	return best
 }
 
-// AddReplicas lists in hop the members that keep the flow's record beside its
-// home: the first in rank of each zone. The next in rank of all is among them,
-// which is home in the view of a member that wrongly takes this one for dead.
+// AddReplicas adds to hop the members that hold the flow's record besides its owner, which is this
+// daemon: the highest ranked member of each zone. Among them is the member that ranks next overall.
+// A member that wrongly believes this daemon dead takes that one for the owner.
 func (v *View) AddReplicas(h FlowHash, hop *geneve.Hop) {
 	for _, z := range v.zones {
 		v.addReplica(hop, v.Replica(h, z, v.Self))
 	}
 }
 
-// AddPossibleReplicas lists in hop the members that may hold a record of the flow, this
-// daemon left out: who is home or backup of any zone now, and who was before
-// members came or began to leave.
+// AddPossibleReplicas adds to hop the members, other than this daemon, that may hold a record of
+// the flow: the present owner and the backups of all zones, and those from before members joined or
+// began to leave.
 func (v *View) AddPossibleReplicas(h FlowHash, hop *geneve.Hop) {
 	v.addRanked(h, "", hop)
 	for _, z := range v.zones {
@@ -249,8 +251,9 @@
 	}
 }
 
-// addRanked lists the members of a zone by rank, down to the first that stays
-// and has been there for long: a record was given to it or to one before it.
+// addRanked adds the members of a zone to hop in order of rank, up to and including the first that
+// isn't leaving and didn't join recently. A record was given to that member or to one that ranks
+// above it.
 func (v *View) addRanked(h FlowHash, z bundle.Zone, hop *geneve.Hop) {
 	f := filter{zone: z, exclude: v.Self, includeLeaving: true}
 	for range geneve.MaxReplicas {
@@ -266,9 +269,9 @@
 	}
 }
 
-// AddAllMembers lists in hop all other members by rank, as far as there is room. They
-// are asked if the holders by the ranking may be dead: a former holder may
-// still have the record.
+// AddAllMembers adds to hop all other members in order of rank, as far as it has free capacity.
+// They are queried if the replicas according to the ranking may be dead, because a former replica
+// may still hold the record.
 func (v *View) AddAllMembers(h FlowHash, hop *geneve.Hop) {
 	ranked := make([]*Member, 0, len(v.Members))
 	for i := range v.Members {
@@ -288,8 +291,8 @@
 	}
 }
 
-// RecordMayBeLost reports whether the home of a flow and a backup of it can both have
-// gone without handing over, so that "nobody knows" doesn't mean "new".
+// RecordMayBeLost reports whether the owner of a flow and a backup of it may both have died without
+// handing over their records. If so, a flow of which no member has a record isn't necessarily new.
 func (v *View) RecordMayBeLost(h FlowHash) bool {
 	if len(v.Lost) == 0 {
 		return false
@@ -311,8 +314,9 @@
 	return false
 }
 
-// highestRankedLost returns the lost member that came before all present ones in rank,
-// or nil. Fresh members don't count: they weren't there when it was lost.
+// highestRankedLost returns the highest ranked of the lost members if it ranks above all present
+// ones, or nil. Members that joined recently don't count as present, because they weren't there
+// when that member was lost.
 func (v *View) highestRankedLost(h FlowHash, z bundle.Zone, exclude ID) *Member {
 	var best *Member
 	var bestScore uint64
--- a/internal/connection/peer/warmer_test.go
+++ b/internal/connection/peer/warmup_test.go
@@ -12,13 +12,13 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// sharer is a way to share what a slow upstream bears.
+// limiter is a way to share the rate of a slow upstream among members.
 type limiter interface {
 	Update(v *peer.View, now time.Time)
 	Share(id bundle.UpstreamID, rate float64) int
 }
 
-// evenly gives each member of the zone the same part, one flow a second at least.
+// equalShares gives each member of the zone the same share, at least one flow per second.
 type equalShares struct{ members int }
 
 func (e *equalShares) Update(v *peer.View, _ time.Time) { e.members = len(v.Members) }
@@ -27,37 +27,38 @@
 	return max(1, int(rate)/max(1, e.members))
 }
 
-// warmHost is a member of the zone with what it knows of the others.
+// warmupHost is a member of the zone with what it knows of the others.
 type warmupHost struct {
 	self    peer.ID
 	limiter limiter
 	members map[peer.ID]bool
-	// from is when it begins to send, until when it ends.
+	// from is when the host begins to send, until when it stops.
 	from, until time.Duration
 	changes     []viewChange
-	// share is the sharer's word since it last saw a view.
+	// share is what the limiter returned for the last view.
 	share int
 	sent  []time.Duration
 }
 
-// warmChange is what a host comes to know of another.
+// viewChange is a change of another member's presence as a host notices it.
 type viewChange struct {
-	at    time.Duration
-	id    peer.ID
-	there bool
+	at      time.Duration
+	id      peer.ID
+	present bool
 }
 
 const (
 	simStep = 20 * time.Millisecond
-	// warmNotice is how long a host takes at most to notice another's coming or going.
+	// maxNoticeDelay is how long a host takes at most to notice that another joined or departed.
 	maxNoticeDelay = 3 * time.Second
 	simLength      = 10 * time.Second
 )
 
-// warmZone plays a zone whose members all send to one upstream as much as they may. Of n members a tenth dies at
-// 2 s, as many join at 4 s, and a third is cut off from the rest from 6 s on; each notices each change
-// at its own moment. It returns the most flows in any second, and the mean.
-func simulateZone(n int, rate float64, seed uint64, newLimiter func(self peer.ID, joined time.Time) limiter) (most int, mean float64) {
+// simZone simulates a zone whose members all send to one upstream as much as they may. Of n
+// members a tenth dies at 2 s, as many join at 4 s, and a third is partitioned from the rest from 6
+// s on. Each member notices each change after its own delay. It returns the most flows in any
+// second, and the mean.
+func simZone(n int, rate float64, seed uint64, newLimiter func(self peer.ID, joined time.Time) limiter) (most int, mean float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1_000_000, 0)
 	part := max(1, n/10)
@@ -81,7 +82,7 @@
 			if j < n {
 				h.members[o.self] = true
 			} else if i != j {
-				h.changes = append(h.changes, viewChange{at: o.from + notice(), id: o.self, there: true})
+				h.changes = append(h.changes, viewChange{at: o.from + notice(), id: o.self, present: true})
 			}
 			if j < part {
 				h.changes = append(h.changes, viewChange{at: o.until + notice(), id: o.self})
@@ -110,12 +111,12 @@
 	return most, float64(len(sent)) / simLength.Seconds()
 }
 
-// play sends what the host may in one step.
+// step sends what the host may send in one step, and returns the times of these flows.
 func (h *warmupHost) step(start time.Time, at time.Duration, rate float64) []time.Duration {
 	changed := at == h.from || at%time.Second == 0
 	for _, c := range h.changes {
 		if c.at >= at-simStep && c.at < at {
-			h.members[c.id], changed = c.there, true
+			h.members[c.id], changed = c.present, true
 		}
 	}
 	if changed {
@@ -139,15 +140,16 @@
 	return out
 }
 
-// A zone is taken back, and each of its upstreams bears a few requests a second while it is cold. Its many balancers know
-// of each other only what gossip told them; together they send it several times of that, it
-// answers nobody in time, and the zone's return costs more than its evacuation did.
-var _ = Describe("A few members that send to a slow upstream", func() {
+// The evacuation of a zone is lifted, and each of its upstreams can take a few requests per second
+// while it is cold. Many balancers know of each other only by gossip. If together they sent several
+// times that rate, no request would be answered in time, and the zone's return would cost more than
+// its evacuation did.
+var _ = Describe("Members that send to a slow upstream", func() {
 	for _, n := range []int{3, 28, 60} {
 		for _, rate := range []float64{2, 7, 20, 60} {
-			It(fmt.Sprintf("keep to its bound of %v a second while %d members come, go and are cut off", rate, n), func() {
+			It(fmt.Sprintf("stay within its rate of %v per second while %d members join, depart and are partitioned", rate, n), func() {
 				for seed := range uint64(3) {
-					most, mean := simulateZone(n, rate, seed, func(self peer.ID, joined time.Time) limiter {
+					most, mean := simZone(n, rate, seed, func(self peer.ID, joined time.Time) limiter {
 						return peer.NewWarmupLimiter(self, joined)
 					})
 					Expect(most).To(BeNumerically("<=", 1.5*rate+5), "seed %d", seed)
@@ -157,13 +159,14 @@
 		}
 	}
 
-	// The other way weighed: each member has the same part. It is less than a flow a second, so it is none or too much.
-	It("do so where equal parts of all members don't", func() {
-		most, _ := simulateZone(28, 7, 1, func(peer.ID, time.Time) limiter { return &equalShares{} })
+	// The alternative: each member has the same share. It is less than one flow per second, so it
+	// is rounded to none or to too much.
+	It("stay within its rate where equal shares of all members don't", func() {
+		most, _ := simZone(28, 7, 1, func(peer.ID, time.Time) limiter { return &equalShares{} })
 		Expect(most).To(BeNumerically(">", 1.5*7+5))
 	})
 
-	It("are none on a side of a cut that lost most of its zone", func() {
+	It("send nothing on a side of a partition that lost most of its zone", func() {
 		start := time.Unix(1_000_000, 0)
 		w := peer.NewWarmupLimiter(1, start.Add(-time.Hour))
 		all := []peer.Member{{ID: 1, Zone: "a"}, {ID: 2, Zone: "a"}, {ID: 3, Zone: "a"}, {ID: 4, Zone: "a"}}
@@ -172,10 +175,10 @@
 		w.Update(peer.NewView(1, all[:2], peer.Changes{}), start.Add(time.Second))
 		Expect(w.Share(9, 40)).To(BeZero())
 		w.Update(peer.NewView(1, all[:2], peer.Changes{}), start.Add(2*time.Minute))
-		Expect(w.Share(9, 40)).To(BeNumerically(">", 0), "the others are gone for good")
+		Expect(w.Share(9, 40)).To(BeNumerically(">", 0), "the others departed permanently")
 	})
 
-	It("are none of those that don't know the others yet", func() {
+	It("send nothing while they don't know the others yet", func() {
 		start := time.Unix(1_000_000, 0)
 		w := peer.NewWarmupLimiter(1, start.Add(time.Second))
 		w.Update(peer.NewView(1, []peer.Member{{ID: 1, Zone: "a"}}, peer.Changes{}), start)
--- a/internal/connection/upstream/board.go
+++ b/internal/connection/upstream/loadtable.go
@@ -1,5 +1,5 @@
-// Package upstream knows the load of upstreams, from what this daemon sees and
-// from what other members tell, and chooses one for a new flow.
+// Package upstream tracks the load of upstreams, from what this daemon counts itself and from what
+// other members report, and chooses an upstream for a new flow.
 package upstream
 
 import (
@@ -11,43 +11,42 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// MemberID identifies the member that told a count.
+// MemberID identifies the member that reported a count.
 type MemberID uint64
 
-// Load is what is known of the load of one upstream. It is safe for concurrent
-// use.
+// Load is the known load of one upstream. It is safe for concurrent use.
 type Load struct {
-	// Flows counts the flows there that this daemon is home of.
+	// Flows counts the flows at the upstream that this daemon owns.
 	Flows atomic.Int64
-	// Requests counts those that it let through and that aren't answered yet.
+	// Requests counts the requests that this daemon forwarded and that aren't answered yet.
 	Requests atomic.Int64
-	// reported is the sum of the flows that the other members are home of.
+	// reported is the sum of the flows that the other members own.
 	reported atomic.Int64
-	// recent counts flows that were placed lately and that no member tells yet.
+	// recent counts flows that were placed recently and that no member reports yet.
 	recent atomic.Int64
 }
 
-// Total estimates the flows at the upstream over all members.
+// Total estimates the number of flows at the upstream over all members.
 func (l *Load) Total() int64 {
 	return l.Flows.Load() + l.reported.Load() + l.recent.Load()
 }
 
 // LoadTable holds the loads of all upstreams. It is safe for concurrent use.
 type LoadTable struct {
-	// mu guards all below. It is a leaf: nothing is locked while it is held.
+	// mu guards the fields below. It is a leaf: no other lock is taken while it is held.
 	mu      sync.RWMutex
 	loads   map[bundle.UpstreamID]*Load
 	reports map[MemberID]map[bundle.UpstreamID]uint32
 	placed  []placement
 }
 
-// placement is a flow that counts as recent until a time.
+// placement is a flow that counts as recent until the given time.
 type placement struct {
 	load  *Load
 	until time.Time
 }
 
-// NewLoadTable returns a board without loads.
+// NewLoadTable returns a table without loads.
 func NewLoadTable() *LoadTable {
 	return &LoadTable{
 		loads:   make(map[bundle.UpstreamID]*Load),
@@ -55,7 +54,7 @@
 	}
 }
 
-// Load returns the load of an upstream and makes it at first use.
+// Load returns the load of an upstream. It creates the load on first use.
 func (t *LoadTable) Load(id bundle.UpstreamID) *Load {
 	t.mu.RLock()
 	l := t.loads[id]
@@ -77,9 +76,9 @@
 	return l
 }
 
-// Forget drops the load of an upstream that is gone for good. Each start of an upstream
-// that registers itself has an identifier of its own, so a daemon that runs for weeks
-// would else keep one for each replacement of each upstream.
+// Forget removes the load of an upstream that was removed permanently. Each start of an upstream
+// that registers itself has its own identifier, so a daemon that runs for weeks would otherwise
+// keep one load for each replacement of each upstream.
 func (t *LoadTable) Forget(id bundle.UpstreamID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,18 +88,19 @@
 	}
 }
 
-// Len returns how many upstreams have a load.
+// Len returns the number of upstreams that have a load.
 func (t *LoadTable) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return len(t.loads)
 }
 
-// UpdateReported takes in how many flows another member is home of, by upstream in the
-// order of ids.
+// UpdateReported takes the counts that the member from reported: flows[i] is the number of flows
+// that it owns at the upstream ids[i]. Its counts at other upstreams stay. Slices of different
+// lengths are ignored, because the counts then belong to another version of the bundle.
 func (t *LoadTable) UpdateReported(from MemberID, ids []bundle.UpstreamID, flows []uint32) {
 	if len(ids) != len(flows) {
-		return // Told of another version of the bundle.
+		return // The counts belong to another version of the bundle.
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// RetainMembers forgets what members told that aren't among those given.
+// RetainMembers removes the counts that were reported by members other than those given.
 func (t *LoadTable) RetainMembers(members []MemberID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// Placed counts a flow as recent until its home will have told of it.
+// Placed counts a flow as recent until the time by which its owner will have reported it.
 func (t *LoadTable) Placed(id bundle.UpstreamID, until time.Time) {
 	l := t.Load(id)
 	l.recent.Add(1)
@@ -139,7 +139,7 @@
 	t.placed = append(t.placed, placement{load: l, until: until})
 }
 
-// Expire takes back what has been recent for long enough.
+// Expire removes the recent flows whose time has passed.
 func (t *LoadTable) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/connection/upstream/policy.go
+++ b/internal/connection/upstream/policy.go
@@ -6,32 +6,33 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Candidate is an upstream that may take a new flow, with its load.
+// Candidate is an upstream that may be given a new flow, with its load.
 type Candidate struct {
 	Route *bundle.UpstreamRoute
 	Load  *Load
-	// Cold is set for an upstream that is slow since it just started.
+	// Cold is set for an upstream that is slow because it has just started.
 	Cold bool
-	// RequestsPerFlow is how many requests are in progress for each flow of the service, zero
-	// if that isn't known. Flows for each slot times RequestsPerFlow is the utilization.
+	// RequestsPerFlow is how many requests are in progress for each flow of the service, zero if
+	// unknown. Flows per slot times RequestsPerFlow is the utilization.
 	RequestsPerFlow float64
-	// ZoneFlowsPerSlot is how many flows the candidate's zone holds for each slot, as its
-	// own members count them, negative if that isn't known. It isn't used for the
-	// daemon's own zone, whose flows are those of its candidates.
+	// ZoneFlowsPerSlot is how many flows the candidate's zone holds for each slot, as counted by
+	// the members of that zone, negative if unknown. It isn't used for the daemon's own zone, whose
+	// flows are those of its candidates.
 	ZoneFlowsPerSlot float64
 }
 
-// Policy chooses among candidates. seed differs from flow to flow, so that equal
-// candidates take turns. It returns nil if none may take the flow.
+// Policy chooses among candidates. seed differs from flow to flow, so that equal candidates are
+// chosen in turn. Choose returns nil if no candidate may be given the flow.
 type Policy interface {
 	Choose(candidates []Candidate, seed uint64) *bundle.UpstreamRoute
 }
 
-// LeastLoaded takes the upstream with the fewest flows for each of its slots,
-// over all members. Ties are broken by the requests in progress, then the seed.
+// LeastLoaded chooses the upstream with the fewest flows per slot, counted over all members. Ties
+// are broken by the number of requests in progress, then by the seed.
 type LeastLoaded struct{}
 
-// requestWeight keeps requests in progress below the weight of a whole flow.
+// requestWeight is the weight of a request in progress relative to a flow. It is small enough that
+// requests weigh less than one whole flow.
 const requestWeight = 1.0 / 1024
 
 // Choose implements Policy.
@@ -56,7 +57,7 @@
 	return best
 }
 
-// Hashed takes an upstream by the seed alone. It is the naive policy to compare with.
+// Hashed chooses an upstream by the seed alone. It is a naive policy for comparison.
 type Hashed struct{}
 
 // Choose implements Policy.
--- a/internal/connection/upstream/rush_test.go
+++ b/internal/connection/upstream/simulation_test.go
@@ -14,10 +14,10 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// The patterns of load below are played on a small queueing model without a
-// network. Its figures are those of the brief's second user: upstreams with 3
-// slots and 12 places to wait, requests of 55 ms, a flow with about 1.3 requests a
-// second, balancers that learn of each other's flows half a second late.
+// The patterns of load below are simulated by a small queueing model without a network. Its figures
+// are those of the second user: upstreams with 3 slots and a queue of 12 requests, requests of 55
+// ms, a flow with about 1.3 requests per second, and balancers that learn of each other's flows
+// half a second late.
 const (
 	simSlots         = 3
 	simQueue         = 12
@@ -30,7 +30,7 @@
 	simFlowLength    = 5 * time.Second
 )
 
-// rush is one play of the model.
+// simulation is one run of the model.
 type simulation struct {
 	rng       *rand.Rand
 	policy    func(zone bundle.Zone) upstream.Policy
@@ -38,24 +38,24 @@
 	events    events
 	upstreams []*simUpstream
 	zones     map[bundle.Zone]*simZone
-	// busy is what balancers take for the requests in progress of one flow.
-	requestsPerFlow        float64
-	asked, refused, inTime int
+	// requestsPerFlow is what balancers assume as the number of requests in progress for each flow.
+	requestsPerFlow       float64
+	sent, refused, inTime int
 }
 
 type simUpstream struct {
 	route               *bundle.UpstreamRoute
 	flows               int64
 	inProgress, waiting int
-	// asked counts the requests that came.
-	asked int
-	dead  bool
-	// finish is when each slot is free.
+	// received counts the requests that arrived.
+	received int
+	dead     bool
+	// queue holds the arrival times of the requests that wait for a slot.
 	queue []time.Duration
 }
 
-// rushZone is the balancers of a zone: what each counts, and what all counted when
-// it was last told.
+// simZone is the balancers of a zone: what each counts, and the counts of all as of the last
+// report.
 type simZone struct {
 	hosts    []map[*simUpstream]*upstream.Load
 	reported map[*simUpstream]int64
@@ -117,7 +117,7 @@
 	}
 }
 
-// tell lets the balancers of each zone know the flows of all.
+// report makes the flows of all balancers known to the balancers of each zone.
 func (r *simulation) report() {
 	for _, z := range r.zones {
 		for _, u := range r.upstreams {
@@ -126,7 +126,7 @@
 	}
 }
 
-// caller opens flows of a zone one after the other.
+// caller opens flows from a zone one after the other.
 func (r *simulation) caller(zone bundle.Zone) {
 	u, l := r.place(zone)
 	if u == nil {
@@ -154,8 +154,8 @@
 }
 
 func (r *simulation) request(u *simUpstream) {
-	r.asked++
-	u.asked++
+	r.sent++
+	u.received++
 	if u.inProgress == simSlots && u.waiting == simQueue {
 		r.refused++
 		return
@@ -169,10 +169,10 @@
 	r.work(u, r.now)
 }
 
-func (r *simulation) work(u *simUpstream, asked time.Duration) {
+func (r *simulation) work(u *simUpstream, sentAt time.Duration) {
 	took := time.Duration(r.rng.ExpFloat64() * float64(simServiceTime))
 	r.at(took, func() {
-		if !u.dead && r.now-asked <= simDeadline {
+		if !u.dead && r.now-sentAt <= simDeadline {
 			r.inTime++
 		}
 		if u.waiting == 0 {
@@ -186,7 +186,7 @@
 	})
 }
 
-// place asks the policy of one of the zone's balancers.
+// place chooses an upstream by the policy of one of the zone's balancers.
 func (r *simulation) place(zone bundle.Zone) (*simUpstream, *upstream.Load) {
 	z := r.zones[zone]
 	host := z.hosts[r.rng.IntN(simBalancers)]
@@ -203,10 +203,11 @@
 		l := table.Load(u.route.ID)
 		own := host[u].Flows.Load()
 		l.Flows.Store(own)
-		table.UpdateReported(upstream.MemberID(u.route.ID), []bundle.UpstreamID{u.route.ID}, []uint32{uint32(max(0, z.reported[u]-own))})
+		table.UpdateReported(upstream.MemberID(u.route.ID), []bundle.UpstreamID{u.route.ID},
+			[]uint32{uint32(max(0, z.reported[u]-own))})
 		byID[u.route.ID] = u
 		candidates = append(candidates, upstream.Candidate{
-			Route: u.route, Load: l, RequestsPerFlow: r.requestsPerFlow, ZoneFlowsPerSlot: r.zoneFlows(zone, u.route.Zone),
+			Route: u.route, Load: l, RequestsPerFlow: r.requestsPerFlow, ZoneFlowsPerSlot: r.zoneFlowsPerSlot(zone, u.route.Zone),
 		})
 	}
 	route := r.policy(zone).Choose(candidates, r.rng.Uint64())
@@ -217,7 +218,7 @@
 	return u, host[u]
 }
 
-func (r *simulation) zoneFlows(own, zone bundle.Zone) float64 {
+func (r *simulation) zoneFlowsPerSlot(own, zone bundle.Zone) float64 {
 	if own == zone {
 		return 0
 	}
@@ -232,24 +233,24 @@
 }
 
 func (r *simulation) String() string {
-	return fmt.Sprintf("%d of %d in time, %d refused", r.inTime, r.asked, r.refused)
+	return fmt.Sprintf("%d of %d in time, %d refused", r.inTime, r.sent, r.refused)
 }
 
-func (r *simulation) share() float64 { return float64(r.inTime) / float64(max(1, r.asked)) }
+func (r *simulation) share() float64 { return float64(r.inTime) / float64(max(1, r.sent)) }
 
-// ownOnly is the policy before: never across zones.
+// ownOnly is a policy without spillover to other zones.
 type ownOnly struct{ upstream.Policy }
 
 func (o ownOnly) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
 	for i := range candidates {
 		if candidates[i].ZoneFlowsPerSlot != 0 {
-			candidates[i].ZoneFlowsPerSlot = -1 // Not known: nothing spills there.
+			candidates[i].ZoneFlowsPerSlot = -1 // Unknown: no flow spills over to that zone.
 		}
 	}
 	return o.Policy.Choose(candidates, seed)
 }
 
-// ownZoneHashed is the naive policy: an upstream of the own zone by the flow's hash.
+// ownZoneHashed is a naive policy: an upstream of the own zone by the flow's hash.
 type ownZoneHashed bundle.Zone
 
 func (o ownZoneHashed) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
@@ -262,10 +263,9 @@
 	return upstream.Hashed{}.Choose(own, seed)
 }
 
-var _ = Describe("Placing by two choices", func() {
-	// Each of many balancers takes the upstream that had the fewest flows half a
-	// second ago. All take the same one, its queue is full, and it sheds requests
-	// while its neighbours idle.
+var _ = Describe("Placement by two choices", func() {
+	// Each of many balancers chooses the upstream that had the fewest flows half a second ago. All
+	// choose the same one, its queue fills, and it sheds requests while others idle.
 	It("doesn't send all new flows of half a second to one upstream", func() {
 		play := func(choices int) *simulation {
 			r := newSimulation(40, []bundle.Zone{"a"}, func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, choices) })
@@ -281,7 +281,7 @@
 	})
 })
 
-var _ = Describe("Placing across zones", func() {
+var _ = Describe("Placement across zones", func() {
 	zones := []bundle.Zone{"a", "b", "c"}
 	play := func(policy func(bundle.Zone) upstream.Policy, crash int) *simulation {
 		r := newSimulation(5, zones, policy)
@@ -298,33 +298,34 @@
 	}
 	spillover := func(z bundle.Zone) upstream.Policy { return upstream.NewZoneAware(z, upstream.DefaultChoices) }
 	ownZoneOnly := func(z bundle.Zone) upstream.Policy { return ownOnly{spillover(z)} }
-	// knowing places by the least loaded of all zones: it pays for each byte across.
+	// leastOfAll places flows on the least loaded upstream of all zones, whatever the traffic
+	// between zones costs.
 	leastOfAll := func(bundle.Zone) upstream.Policy { return upstream.LeastLoaded{} }
 
-	// Three of a zone's five upstreams crash before the weekly rush. Its secretaries
-	// wait behind the two that are left, while the zones beside it idle.
-	It("serves a zone that lost most of its upstreams nearly as well as placing anywhere does", func() {
+	// Three of a zone's five upstreams crash before the weekly peak. Without spillover its requests
+	// wait for the remaining two, while other zones idle.
+	It("serves a zone that lost most of its upstreams nearly as well as placement in any zone does", func() {
 		with, without, best := play(spillover, 3), play(ownZoneOnly, 3), play(leastOfAll, 3)
-		Expect(with.share()).To(BeNumerically(">", without.share()+0.05), "with: %v; never: %v", with, without)
+		Expect(with.share()).To(BeNumerically(">", without.share()+0.05), "with: %v; without: %v", with, without)
 		Expect(with.share()).To(BeNumerically(">", best.share()-0.05), "with: %v; anywhere: %v", with, best)
 	})
 
-	// The editing service has just the upstreams that the weekly rush needs. If one of a
-	// zone gets a third more than its neighbours, secretaries wait there while the others
-	// have slots free.
-	It("spreads the work of a zone over its upstreams within a fifth of their mean", func() {
+	// The editing service has just the upstreams that the weekly peak needs. If one upstream of a
+	// zone gets a third more requests than the others, requests wait there while others have free
+	// slots.
+	It("spreads the requests of a zone over its upstreams within a fifth of their mean", func() {
 		worst := func(policy func(bundle.Zone) upstream.Policy) float64 {
 			most := 0.0
 			byZone := make(map[bundle.Zone][]int)
 			for _, u := range play(policy, 0).upstreams {
-				byZone[u.route.Zone] = append(byZone[u.route.Zone], u.asked)
+				byZone[u.route.Zone] = append(byZone[u.route.Zone], u.received)
 			}
-			for _, asked := range byZone {
+			for _, received := range byZone {
 				sum := 0
-				for _, n := range asked {
+				for _, n := range received {
 					sum += n
 				}
-				most = max(most, float64(slices.Max(asked)*len(asked))/float64(sum))
+				most = max(most, float64(slices.Max(received)*len(received))/float64(sum))
 			}
 			return most
 		}
@@ -334,7 +335,7 @@
 		Expect(ours).To(BeNumerically("<", hashed), "ours %.3f, hashed %.3f", ours, hashed)
 	})
 
-	It("stays in the own zone while it has room", func() {
+	It("stays in the own zone while it has free capacity", func() {
 		r := play(spillover, 0)
 		crossed := int64(0)
 		for z, hosts := range r.zones {
--- a/internal/connection/upstream/zoned.go
+++ b/internal/connection/upstream/zoneaware.go
@@ -7,43 +7,45 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// ZoneAware places new flows in the daemon's own zone as long as its upstreams there have
-// room, and in another zone while they are crowded and that one isn't: what crosses
-// zones is what a cut between them breaks, and its bytes are paid for. It takes
-// the least loaded of a few candidates that it draws. It isn't safe for concurrent use.
+// ZoneAware places new flows in the daemon's own zone as long as the upstreams there have free
+// capacity. While they are overloaded and another zone isn't, new flows spill over to that zone.
+// Traffic between zones breaks when they are partitioned from each other, and its bytes are paid
+// for. ZoneAware chooses the least loaded of a few random candidates. It isn't safe for concurrent
+// use.
 type ZoneAware struct {
 	zone    bundle.Zone
 	choices int
 	sampled []int
 }
 
-// DefaultChoices is how many candidates are drawn. What others placed is known half
-// a second late; if all daemons took the least loaded of all, they would send all
-// flows of that time to one upstream. Two choices at random are spread nearly as
-// well as the best of all would be with full knowledge (Mitzenmacher 2001).
+// DefaultChoices is the number of random candidates. The placements of other daemons are known half
+// a second late. If all daemons chose the least loaded of all upstreams, they would send all flows
+// of that time to one upstream. The better of two random choices spreads flows nearly as well as
+// the best of all would with full knowledge (Mitzenmacher 2001).
 const DefaultChoices = 2
 
-// NewZoneAware returns a policy for a daemon in a zone that draws so many candidates.
+// NewZoneAware returns a policy for a daemon in the given zone that chooses among that many random
+// candidates.
 func NewZoneAware(zone bundle.Zone, choices int) *ZoneAware {
 	return &ZoneAware{zone: zone, choices: choices}
 }
 
-// coldFlows is how many flows more an upstream counts while it is slow after its
-// start, so that a newcomer isn't given all new flows in its slow seconds.
+// coldFlows is the number of flows by which an upstream counts as more loaded while it is slow
+// after its start, so that it isn't given all new flows during that time.
 const coldFlows = 2
 
-// When new flows cross zones. At a utilization of 0.8, requests of the users'
-// upstreams with two or three slots wait about as long as they are worked on; the
-// margin keeps two busy zones from sending their flows to each other.
+// Conditions under which new flows spill over to another zone. At a utilization of 0.8, requests to
+// the users' upstreams with two or three slots wait about as long as they are processed. The margin
+// keeps two busy zones from sending their flows to each other.
 const (
 	spilloverUtilization = 0.8
 	spilloverMargin      = 0.25
 )
 
-// The utilization is that of the last seconds. What this daemon itself waits for is known at
-// once: if that alone fills the slots of the upstream that it would choose, a new flow goes
-// to another zone whose upstream has half a request a slot less to do. In a burst of one zone its upstreams
-// would else shed while the other zones have room.
+// The utilization is that of the last seconds, whereas the requests that this daemon itself waits
+// for are known immediately. If these alone fill the slots of the upstream that it would choose, a
+// new flow goes to another zone whose upstream has over half a request less per slot. Otherwise the
+// upstreams of a zone would shed requests in a burst while other zones have free capacity.
 const (
 	fullOutstanding   = 1.0
 	outstandingMargin = 0.5
@@ -72,8 +74,8 @@
 	return own.Route
 }
 
-// utilization estimates the share of the own zone's slots that are in use. It is
-// taken over the whole zone: one upstream's flows say too little.
+// utilization estimates the share of the own zone's slots that are in use. It covers the whole
+// zone, because the flows of a single upstream say too little.
 func (z *ZoneAware) utilization(candidates []Candidate) float64 {
 	var busy float64
 	slots := 0
@@ -87,8 +89,8 @@
 	return busy / float64(max(1, slots))
 }
 
-// leastLoaded draws candidates of the own zone or of others by a partial shuffle and
-// returns the leastLoaded loaded, or nil if none has room.
+// leastLoaded samples candidates of the own zone or of the others by a partial shuffle and returns
+// the least loaded of them, or nil if none has free capacity.
 func (z *ZoneAware) leastLoaded(candidates []Candidate, seed uint64, own bool) *Candidate {
 	z.sampled = z.sampled[:0]
 	for i := range candidates {
@@ -112,17 +114,17 @@
 	return best
 }
 
-// outstanding is how many requests this daemon waits for there, for each slot.
+// outstanding returns how many requests to the upstream this daemon waits for, per slot.
 func (c *Candidate) outstanding() float64 {
 	return float64(c.Load.Requests.Load()) / float64(c.Route.Slots)
 }
 
-// hasCapacity reports whether the candidate may take one flow more.
+// hasCapacity reports whether the candidate may be given one more flow.
 func (c *Candidate) hasCapacity() bool {
 	return !c.Route.Drain && c.Load.Total() < int64(c.Route.Connections)
 }
 
-// cost is the candidate's load for each of its slots.
+// cost returns the candidate's load per slot.
 func (c *Candidate) cost() float64 {
 	flows := float64(c.Load.Total())
 	if c.Cold {
