--- a/internal/connection/peer/advertisement.go
+++ b/internal/connection/peer/advertisement.go
@@ -51,11 +51,11 @@
 }
 
 // Complete reports whether the advertisement contains the whole list of evacuated zones.
-func (e *AdvertisedZones) Complete() bool { return e.Zones.Digest() == e.Digest }
+func (a *AdvertisedZones) Complete() bool { return a.Zones.Digest() == a.Digest }
 
 // MissingFrom reports whether a daemon that holds z lacks the zones that are advertised.
-func (e *AdvertisedZones) MissingFrom(z *evacuation.Zones) bool {
-	return e.Zones.AsOf >= z.AsOf && e.Digest != z.Digest()
+func (a *AdvertisedZones) MissingFrom(z *evacuation.Zones) bool {
+	return a.Zones.AsOf >= z.AsOf && a.Digest != z.Digest()
 }
 
 // Limits of an Advertisement and a Report, so that each fits into one datagram.
@@ -78,15 +78,15 @@
 )
 
 // Check returns ErrMessage if the advertisement exceeds a limit, or the error of an invalid entry.
-func (n *Advertisement) Check() error {
-	if n.From == 0 || n.Age < 0 || n.SuspicionPeriod < 0 || len(n.Changes) > MaxAdvertisedChanges {
+func (a *Advertisement) Check() error {
+	if a.From == 0 || a.Age < 0 || a.SuspicionPeriod < 0 || len(a.Changes) > MaxAdvertisedChanges {
 		return ErrMessage
 	}
-	if err := n.Evacuated.Zones.Check(); err != nil {
+	if err := a.Evacuated.Zones.Check(); err != nil {
 		return err
 	}
-	for i := range n.Changes {
-		if err := n.Changes[i].Check(); err != nil {
+	for i := range a.Changes {
+		if err := a.Changes[i].Check(); err != nil {
 			return err
 		}
 	}
@@ -121,8 +121,8 @@
 // counts as received: a member that can't fetch the rest from the sender must read the store
 // itself, however recent the advertisement is. Otherwise it would keep an old bundle for as long as
 // advertisements arrive.
-func (n *Advertisement) MissingFrom(version bundle.Version, asOf objects.Position, digest uint64) (bundle, list bool) {
-	return n.Bundle > version, n.AsOf >= asOf && n.Digest != digest
+func (a *Advertisement) MissingFrom(version bundle.Version, asOf objects.Position, digest uint64) (bundle, list bool) {
+	return a.Bundle > version, a.AsOf >= asOf && a.Digest != digest
 }
 
 // ServiceLoad is how many flows of a service a daemon counts, how many requests are in progress on
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -22,7 +22,7 @@
 	SuspectTimeout time.Duration
 	// Helpers is how many other members are asked to probe a member that didn't acknowledge.
 	Helpers int
-	// LostWindow is how long a member that died is remembered as a possible holder of records of
+	// LostWindow is how long a member that died is remembered as one that may have held records of
 	// requests that a caller may repeat.
 	LostWindow time.Duration
 	// RecentWindow is how long after a change records are looked up at all members that may hold
@@ -229,7 +229,7 @@
 		}
 	}
 	for seq, r := range m.relays {
-		if now.Sub(r.at) > 2*m.cfg.ProbeTimeout {
+		if now.Sub(r.sentAt) > 2*m.cfg.ProbeTimeout {
 			delete(m.relays, seq)
 		}
 	}
@@ -276,7 +276,7 @@
 		out = append(out, m.acknowledge(from, msg, now))
 	case KindPingRequest:
 		e := m.ping(msg.Target)
-		m.relays[e.Message.Seq] = relay{to: from, seq: msg.Seq, at: now}
+		m.relays[e.Message.Seq] = relay{to: from, seq: msg.Seq, sentAt: now}
 		out = append(out, e)
 	case KindAck:
 		out = append(out, m.handleAck(msg)...)
--- a/internal/connection/peer/probe.go
+++ b/internal/connection/peer/probe.go
@@ -10,21 +10,21 @@
 type probe struct {
 	target   ID
 	seq      uint32
-	at       time.Time
+	sentAt   time.Time
 	indirect bool
 }
 
 // relay is a probe made on behalf of another member.
 type relay struct {
-	to  netip.AddrPort
-	seq uint32
-	at  time.Time
+	to     netip.AddrPort
+	seq    uint32
+	sentAt time.Time
 }
 
 // continueProbe handles the timeouts of the probe in progress. After the first timeout it requests
 // probes by helpers and repeats its own, after the second one it suspects the member.
 func (m *Membership) continueProbe(now time.Time) []Envelope {
-	if m.probe.target == 0 || now.Sub(m.probe.at) < m.cfg.ProbeTimeout {
+	if m.probe.target == 0 || now.Sub(m.probe.sentAt) < m.cfg.ProbeTimeout {
 		return nil
 	}
 	r := m.peers[m.probe.target]
@@ -34,7 +34,7 @@
 	}
 	if !m.probe.indirect {
 		m.probe.indirect = true
-		m.probe.at = now
+		m.probe.sentAt = now
 		return m.requestIndirectProbes(r)
 	}
 	m.probe = probe{}
@@ -88,7 +88,7 @@
 	position := uint64(slices.Index(ring, m.self.ID))
 	target := ring[(position+distance)%uint64(len(ring))]
 	e := m.ping(m.peers[target].Control)
-	m.probe = probe{target: target, seq: e.Message.Seq, at: now}
+	m.probe = probe{target: target, seq: e.Message.Seq, sentAt: now}
 	return []Envelope{e}
 }
 
--- a/internal/connection/peer/startup.go
+++ b/internal/connection/peer/startup.go
@@ -49,19 +49,19 @@
 )
 
 // ShouldRead reports whether the daemon reads the store now.
-func (s Startup) ShouldRead(n StartupState, now time.Time) bool {
+func (s Startup) ShouldRead(state StartupState, now time.Time) bool {
 	elapsed := now.Sub(s.StartedAt)
 	switch {
-	case n.CallersWaiting:
+	case state.CallersWaiting:
 		return true
-	case !s.FirstStart && !n.ServingMemberSeen:
+	case !s.FirstStart && !state.ServingMemberSeen:
 		return elapsed >= seedTimeout
-	case n.Others == 0:
+	case state.Others == 0:
 		return elapsed >= aloneReadsAfter
-	case n.Rank == 0:
+	case state.Rank == 0:
 		return elapsed >= firstRankReadsAfter
 	}
-	return elapsed >= catalogTimeout+time.Duration(min(n.Rank, catalogTimeoutRanks))*catalogTimeoutStep
+	return elapsed >= catalogTimeout+time.Duration(min(state.Rank, catalogTimeoutRanks))*catalogTimeoutStep
 }
 
 // RequestDelay returns how long a daemon waits before it queries the next member. The mean delay is
