--- a/internal/connection/peer/rpc.go
+++ b/internal/connection/peer/rpc.go
@@ -49,7 +49,8 @@
 }
 
 // CallRPC makes one call to another daemon and decodes its result into a T. The call is aborted if
-// the answer doesn't begin within l.Begin, or stalls for l.Stall. counts records the transfer.
+// the answer doesn't begin within l.FirstByteTimeout, stalls for l.StallTimeout or takes longer
+// than l.MaxDuration. counts records the transfer.
 func CallRPC[T any](
 	ctx context.Context, to netip.AddrPort, call RPC, l transfer.Limits, counts *transfer.Counts,
 ) (T, *transfer.Transfer, error) {
