--- a/internal/connection/peer/bench_test.go
+++ b/internal/connection/peer/bench_test.go
@@ -25,8 +25,9 @@
 	return out
 }
 
-// BenchmarkLearn is what a daemon that starts takes to know a fleet and to make its view.
-func BenchmarkLearn(b *testing.B) {
+// BenchmarkMerge measures how long a starting daemon takes to add the members of a fleet and to
+// make its view.
+func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{195, 1000, 16000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			all := manyMembers(n)
@@ -42,7 +43,8 @@
 	}
 }
 
-// BenchmarkCatalogDecode is what a list costs a daemon that another one tells.
+// BenchmarkCatalogDecode measures how long a daemon takes to decode the list of registrations that
+// another daemon sends.
 func BenchmarkCatalogDecode(b *testing.B) {
 	for _, n := range []int{18, 293, 3000, 30000} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
@@ -50,14 +52,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			told := &peer.Catalog{Complete: true, HasRegistrations: true}
+			catalog := &peer.Catalog{Complete: true, HasRegistrations: true}
 			for i := range n {
-				told.Registrations = append(told.Registrations, registry.Registration{
+				catalog.Registrations = append(catalog.Registrations, registry.Registration{
 					ID: bundle.UpstreamID(1 + i*7919), Service: "huvo11a", Zone: "col-hall-a", Slots: 2, StartTime: 1765000000000,
 					Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(i >> 8), byte(i)}), 8080), Created: 1, Revision: 2,
 				})
 			}
-			body, err := c.Encode(told)
+			body, err := c.Encode(catalog)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/connection/peer/gossip.go
+++ b/internal/connection/peer/gossip.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-type rumor struct {
+type gossipUpdate struct {
 	Member
 	copies int
 }
 
-// apply takes in what was said of a member, by itself or by another.
+// apply processes a claim about a member, made by the member itself or by another one.
 func (m *Membership) apply(u Member, now time.Time) {
 	if u.ID == m.self.ID {
 		m.refute(u)
@@ -22,56 +22,56 @@
 			return
 		}
 		m.add(u, now)
-		m.spread(u)
-		m.touch(now)
+		m.enqueueGossip(u)
+		m.markChanged(now)
 		return
 	}
 	if u.Boot != r.Boot && u.Incarnation > r.Incarnation && r.present() {
-		// The host restarted before its death was noticed: what it held is lost.
-		m.noteLost(r.Member, now)
+		// The host restarted before its death was detected. The records that it held are lost.
+		m.recordLost(r.Member, now)
 	}
-	if !overrules(&u, &r.Member) {
+	if !supersedes(&u, &r.Member) {
 		return
 	}
 	if u.State == StateDead && r.present() {
-		m.noteLost(r.Member, now)
+		m.recordLost(r.Member, now)
 	}
 	if u.State == StateAlive && r.State == StateDead && u.Boot == r.Boot {
-		m.noteFound(u)
+		m.withdrawLost(u)
 	}
-	moves := holds(u.State) != holds(r.State) || u.Boot != r.Boot
+	ownersMove := ownershipState(u.State) != ownershipState(r.State) || u.Boot != r.Boot
 	if u.Boot != r.Boot || !r.present() {
-		r.fresh, r.joined = true, now
+		r.recentlyJoined, r.joinedAt = true, now
 	}
 	r.Member = u
-	r.since = now
-	m.spread(u)
+	r.stateSince = now
+	m.enqueueGossip(u)
 	m.epoch++
-	if moves {
-		m.touch(now)
+	if ownersMove {
+		m.markChanged(now)
 	}
 }
 
-// holds groups the states between which the homes of flows move: a suspicion
-// that is refuted moves none.
-func holds(s State) State {
+// ownershipState maps states between which the owners of flows don't change to the same value: a
+// suspicion that is refuted changes no owner.
+func ownershipState(s State) State {
 	if s == StateSuspect {
 		return StateAlive
 	}
 	return s
 }
 
-// overrules reports whether u says more than what is known: a higher
-// incarnation, or a later state at the same one.
-func overrules(u, known *Member) bool {
+// supersedes reports whether u is newer than the known state: it has a higher incarnation, or a
+// later state at the same incarnation.
+func supersedes(u, known *Member) bool {
 	if u.Incarnation != known.Incarnation {
 		return u.Incarnation > known.Incarnation
 	}
 	return u.State > known.State
 }
 
-// refute answers a claim about this daemon that isn't true. A claim from an
-// earlier run of it, or of its death, is overruled by a higher incarnation.
+// refute answers a false claim about this daemon. It supersedes a claim that is about an earlier
+// run of this daemon, or that says that it is dead, by taking a higher incarnation.
 func (m *Membership) refute(u Member) {
 	if u.Incarnation < m.self.Incarnation || u.Boot == m.self.Boot && u.State == m.self.State {
 		return
@@ -80,28 +80,28 @@
 		return
 	}
 	m.self.Incarnation = u.Incarnation + 1
-	m.spread(m.self)
+	m.enqueueGossip(m.self)
 	m.epoch++
 }
 
-func (m *Membership) noteLost(l Member, now time.Time) {
-	m.lost = append(m.lost, lostMember{Member: l, at: now})
+func (m *Membership) recordLost(l Member, now time.Time) {
+	m.lost = append(m.lost, lostMember{Member: l, lostAt: now})
 	m.epoch++
 }
 
-// noteFound takes back the loss of a member that was only out of reach.
-func (m *Membership) noteFound(u Member) {
+// withdrawLost removes a member from the lost ones that was only unreachable.
+func (m *Membership) withdrawLost(u Member) {
 	m.lost = slices.DeleteFunc(m.lost, func(l lostMember) bool { return l.ID == u.ID && l.Boot == u.Boot })
 }
 
-// spread passes an update on with the next messages, in place of older ones of
-// the same member.
-func (m *Membership) spread(u Member) {
-	m.gossip = slices.DeleteFunc(m.gossip, func(r rumor) bool { return r.ID == u.ID })
-	m.gossip = append([]rumor{{Member: u, copies: m.cfg.GossipCopies}}, m.gossip...)
+// enqueueGossip queues an update for the next messages. It replaces older updates about the same
+// member.
+func (m *Membership) enqueueGossip(u Member) {
+	m.gossip = slices.DeleteFunc(m.gossip, func(r gossipUpdate) bool { return r.ID == u.ID })
+	m.gossip = append([]gossipUpdate{{Member: u, copies: m.cfg.GossipCopies}}, m.gossip...)
 }
 
-// takeGossip returns at most n updates to pass on.
+// takeGossip returns at most n updates to send and counts them as sent once more.
 func (m *Membership) takeGossip(n int) []Member {
 	var out []Member
 	for i := range m.gossip {
@@ -111,6 +111,6 @@
 		out = append(out, m.gossip[i].Member)
 		m.gossip[i].copies--
 	}
-	m.gossip = slices.DeleteFunc(m.gossip, func(r rumor) bool { return r.copies <= 0 })
+	m.gossip = slices.DeleteFunc(m.gossip, func(r gossipUpdate) bool { return r.copies <= 0 })
 	return out
 }
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -10,32 +10,32 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Config holds the times of a Membership. A zero field takes its default.
+// Config holds the times and bounds of a Membership. A zero field takes its default.
 type Config struct {
 	// ProbePeriod is the time between two probes that a daemon sends.
 	ProbePeriod time.Duration
-	// ProbeTimeout is how long it waits for an acknowledgement before it asks
-	// others to probe, and again before it suspects.
+	// ProbeTimeout is how long a daemon waits for an acknowledgement before it requests probes by
+	// helpers, and again before it suspects the member.
 	ProbeTimeout time.Duration
-	// SuspectTimeout is how long a suspected member may refute before it is dead.
+	// SuspectTimeout is how long a suspected member may refute the suspicion before it is declared
+	// dead.
 	SuspectTimeout time.Duration
-	// Helpers is how many others are asked to probe a member that didn't answer.
+	// Helpers is how many other members are asked to probe a member that didn't acknowledge.
 	Helpers int
-	// LostWindow is how long a member that died is remembered as a possible
-	// holder of requests that a caller may repeat.
+	// LostWindow is how long a member that died is remembered as one that may have held records of
+	// requests that a caller may repeat.
 	LostWindow time.Duration
-	// RecentWindow is how long after a change records are looked for at all who
-	// may hold them.
+	// RecentWindow is how long after a change records are looked up at all members that may hold
+	// them.
 	RecentWindow time.Duration
-	// GossipCopies is how often each update is passed on.
+	// GossipCopies is how many times each update is sent.
 	GossipCopies int
-	// Updates is how many updates one message carries, MaxUpdates at most. In quiet
-	// times there are none to carry, so more of them cost only while members come
-	// and go.
+	// Updates is how many updates one message carries, at most MaxUpdates. While no member joins or
+	// leaves there are no updates to carry, so a larger value costs bytes only during changes.
 	Updates int
 }
 
-// The defaults: a dead member is found in under two seconds at nine members.
+// The defaults. With them a dead member is detected in less than two seconds among nine members.
 const (
 	DefaultProbePeriod    = 250 * time.Millisecond
 	DefaultProbeTimeout   = 100 * time.Millisecond
@@ -44,13 +44,13 @@
 	DefaultLostWindow     = 50 * time.Second
 	DefaultRecentWindow   = 10 * time.Minute
 	DefaultGossipCopies   = 6
-	// DefaultUpdates leaves room for the counts of flows in the same datagram.
+	// DefaultUpdates leaves space for the counts of flows in the same datagram.
 	DefaultUpdates = 4
-	// deadProbes is how many probe periods lie between two probes of a member
-	// that is out of reach, by which a healed network is noticed.
-	deadProbes = 8
-	// forgetAfter is when a member out of reach is no longer probed.
-	forgetAfter = 24 * time.Hour
+	// deadProbePeriods is the number of probe periods between two probes of unreachable members, by
+	// which the end of a network partition is detected.
+	deadProbePeriods = 8
+	// forgetDeadAfter is how long an unreachable member is probed before it is removed.
+	forgetDeadAfter = 24 * time.Hour
 )
 
 func (c Config) withDefaults() Config {
@@ -72,87 +72,88 @@
 	}
 }
 
-// Envelope is a message and where to send it.
+// Envelope is a message and its destination.
 type Envelope struct {
 	To      netip.AddrPort
 	Message Message
-	// FreshPort asks for a source port that wasn't used before: something between
-	// the two ends may have lost track of the ports used until now, and drops
-	// what they exchange, while a new pair works.
+	// FreshPort requests a source port that wasn't used before. A middlebox between the two ends
+	// may have lost the state of the ports used until now and drop their packets, while a new pair
+	// of ports works.
 	FreshPort bool
 }
 
-// Membership finds out by direct probes who is there, in the shape of SWIM
-// (Das, Gupta, Motivala 2002): each daemon probes one other in turn, so the cost
-// per daemon doesn't grow with their number. It has no socket and no clock and
-// isn't safe for concurrent use.
+// Membership detects by direct probes which members are alive, in the manner of SWIM (Das, Gupta,
+// Motivala 2002): each daemon probes one other member at a time, so the cost per daemon doesn't
+// grow with their number. It has no socket and no clock of its own. It isn't safe for concurrent
+// use.
 type Membership struct {
 	cfg    Config
 	rng    *rand.Rand
 	self   Member
 	bundle bundle.Version
 	flows  []uint32
-	peers  map[ID]*record
-	// order holds the keys of peers, sorted, so that the same events and the same
+	peers  map[ID]*peerState
+	// sortedIDs holds the keys of peers in ascending order, so that the same events and the same
 	// seed give the same messages. It is replaced, never changed in place.
-	order  []ID
-	lost   []lostMember
-	gossip []rumor
-	probe  probe
-	relays map[uint32]relay
-	seq    uint32
-	ticks  uint64
-	// changed is when the set of members last changed; zero if never.
-	changed time.Time
-	// unsettled is set for the lost window after such a change.
-	unsettled bool
-	nextProbe time.Time
-	epoch     uint64
-	// serving is set once a member has told that it has a bundle in force.
-	serving bool
+	sortedIDs []ID
+	lost      []lostMember
+	gossip    []gossipUpdate
+	probe     probe
+	relays    map[uint32]relay
+	seq       uint32
+	ticks     uint64
+	// changedAt is when the set of members last changed, zero if it didn't within RecentWindow.
+	changedAt time.Time
+	// repeatsPossible is true for LostWindow after such a change.
+	repeatsPossible bool
+	nextProbe       time.Time
+	epoch           uint64
+	// servingSeen is set once a message of a member that has a bundle in force was received.
+	servingSeen bool
 }
 
-type record struct {
+type peerState struct {
 	Member
-	since time.Time
-	// fresh is set for the recent window after the member joined or restarted.
-	fresh  bool
-	joined time.Time
+	stateSince time.Time
+	// recentlyJoined is true for RecentWindow after the member joined or restarted.
+	recentlyJoined bool
+	joinedAt       time.Time
 }
 
 type lostMember struct {
 	Member
-	at time.Time
+	lostAt time.Time
 }
 
-// NewMembership returns a membership of which self is the only member.
+// NewMembership returns a membership whose only member is self. Zero fields of cfg take their
+// defaults.
 func NewMembership(cfg Config, self Member, rng *rand.Rand) *Membership {
 	self.State = StateAlive
 	return &Membership{
 		cfg:    cfg.withDefaults(),
 		rng:    rng,
 		self:   self,
-		peers:  make(map[ID]*record),
+		peers:  make(map[ID]*peerState),
 		relays: make(map[uint32]relay),
 		seq:    rng.Uint32(),
 		epoch:  1,
 	}
 }
 
-// Epoch grows with each change that View shows.
+// Epoch returns a number that grows with each change that is visible in View.
 func (m *Membership) Epoch() uint64 { return m.epoch }
 
 // Self returns the daemon's own entry.
 func (m *Membership) Self() Member { return m.self }
 
-// SetBundle tells others which version this daemon has in force.
+// SetBundle sets the bundle version that messages to others name as the one in force here.
 func (m *Membership) SetBundle(v bundle.Version) { m.bundle = v }
 
-// SetFlows tells others how many flows this daemon is home of at each upstream.
+// SetFlows sets the counts of flows owned by this daemon at each upstream, as sent to others.
 func (m *Membership) SetFlows(flows []uint32) { m.flows = flows }
 
-// Seed pings hosts of the platform's list that aren't members. The list lags,
-// so a host on it counts only once it has answered.
+// Seed pings those of the platform's hosts that aren't members. The platform's list may be
+// outdated, so a host on it becomes a member only once it has acknowledged.
 func (m *Membership) Seed(hosts []netip.AddrPort) []Envelope {
 	known := make(map[netip.AddrPort]bool, len(m.peers))
 	for _, r := range m.peers {
@@ -167,14 +168,16 @@
 	return out
 }
 
-// AnnounceLeaving marks the daemon as leaving and tells everyone at once.
+// AnnounceLeaving marks the daemon as leaving and returns the messages that announce it to all
+// members immediately.
 func (m *Membership) AnnounceLeaving(now time.Time) []Envelope {
 	m.self.State = StateLeaving
 	m.self.Incarnation++
 	return m.announce(now)
 }
 
-// AnnounceLeft tells everyone that the daemon has handed over all it had.
+// AnnounceLeft marks the daemon as left after it has handed over all its records, and returns the
+// messages that announce it to all members.
 func (m *Membership) AnnounceLeft(now time.Time) []Envelope {
 	m.self.State = StateLeft
 	m.self.Incarnation++
@@ -182,9 +185,9 @@
 }
 
 func (m *Membership) announce(now time.Time) []Envelope {
-	m.touch(now)
+	m.markChanged(now)
 	out := make([]Envelope, 0, len(m.peers))
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if r := m.peers[id]; r.present() {
 			out = append(out, m.ping(r.Control))
 		}
@@ -192,9 +195,9 @@
 	return out
 }
 
-// Tick lets time pass and returns what is to be sent.
+// Tick handles the timeouts that are due at now and returns the messages to send.
 func (m *Membership) Tick(now time.Time) []Envelope {
-	out := m.follow(now)
+	out := m.continueProbe(now)
 	m.expire(now)
 	if now.Before(m.nextProbe) {
 		return out
@@ -204,95 +207,98 @@
 	if m.probe.target == 0 {
 		out = append(out, m.startProbe(now)...)
 	}
-	if m.ticks%deadProbes == 0 {
+	if m.ticks%deadProbePeriods == 0 {
 		out = append(out, m.probeDead()...)
 	}
 	return out
 }
 
-// expire turns suspicion into death and forgets what is long past.
+// expire declares suspected members dead after SuspectTimeout and removes entries whose window has
+// passed.
 func (m *Membership) expire(now time.Time) {
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		r := m.peers[id]
-		age := now.Sub(r.since)
+		age := now.Sub(r.stateSince)
 		switch {
 		case r.State == StateSuspect && age >= m.cfg.SuspectTimeout:
 			dead := r.Member
 			dead.State = StateDead
 			m.apply(dead, now)
-		case r.State == StateLeft && age >= m.cfg.LostWindow, r.State == StateDead && age >= forgetAfter:
+		case r.State == StateLeft && age >= m.cfg.LostWindow, r.State == StateDead && age >= forgetDeadAfter:
 			m.forget(id)
 		}
 	}
 	for seq, r := range m.relays {
-		if now.Sub(r.at) > 2*m.cfg.ProbeTimeout {
+		if now.Sub(r.sentAt) > 2*m.cfg.ProbeTimeout {
 			delete(m.relays, seq)
 		}
 	}
 	for _, r := range m.peers {
-		if r.fresh && now.Sub(r.joined) >= m.cfg.RecentWindow {
-			r.fresh = false
+		if r.recentlyJoined && now.Sub(r.joinedAt) >= m.cfg.RecentWindow {
+			r.recentlyJoined = false
 			m.epoch++
 		}
 	}
 	n := len(m.lost)
-	m.lost = slices.DeleteFunc(m.lost, func(l lostMember) bool { return now.Sub(l.at) >= m.cfg.LostWindow })
+	m.lost = slices.DeleteFunc(m.lost, func(l lostMember) bool { return now.Sub(l.lostAt) >= m.cfg.LostWindow })
 	if len(m.lost) != n {
 		m.epoch++
 	}
-	if m.unsettled && now.Sub(m.changed) >= m.cfg.LostWindow {
-		m.unsettled = false
+	if m.repeatsPossible && now.Sub(m.changedAt) >= m.cfg.LostWindow {
+		m.repeatsPossible = false
 		m.epoch++
 	}
-	if !m.changed.IsZero() && now.Sub(m.changed) >= m.cfg.RecentWindow {
-		m.changed = time.Time{}
+	if !m.changedAt.IsZero() && now.Sub(m.changedAt) >= m.cfg.RecentWindow {
+		m.changedAt = time.Time{}
 		m.epoch++
 	}
 }
 
-// Receive handles a message that was sent from the control address from.
+// Receive handles a message that was sent from the control address from, and returns the messages
+// to send.
 func (m *Membership) Receive(now time.Time, from netip.AddrPort, msg *Message) []Envelope {
 	if msg.From.ID == m.self.ID {
 		return nil
 	}
-	m.serving = m.serving || msg.Bundle != 0
+	m.servingSeen = m.servingSeen || msg.Bundle != 0
 	m.apply(msg.From, now)
 	for i := range msg.Updates {
 		m.apply(msg.Updates[i], now)
 	}
 	var out []Envelope
-	if old := m.peers[msg.From.ID]; old != nil && outdated(old, &msg.From) {
-		// The sender doesn't know what it is taken for: tell it, so that it can refute
-		// with a higher incarnation.
-		m.spread(old.Member)
+	if old := m.peers[msg.From.ID]; old != nil && needsRefutation(old, &msg.From) {
+		// The sender isn't aware of the state in which others hold it. It is sent that state, so
+		// that it can refute it with a higher incarnation.
+		m.enqueueGossip(old.Member)
 	}
 	switch msg.Kind {
 	case KindPing:
-		out = append(out, m.answer(from, msg, now))
+		out = append(out, m.acknowledge(from, msg, now))
 	case KindPingRequest:
 		e := m.ping(msg.Target)
-		m.relays[e.Message.Seq] = relay{to: from, seq: msg.Seq, at: now}
+		m.relays[e.Message.Seq] = relay{to: from, seq: msg.Seq, sentAt: now}
 		out = append(out, e)
 	case KindAck:
-		out = append(out, m.acknowledged(msg)...)
+		out = append(out, m.handleAck(msg)...)
 	}
 	return out
 }
 
-// outdated reports whether what is known of a member is wrong though its incarnation
-// is not lower than the one that the member gives itself: it is taken for dead, or for
-// an earlier run of its process. The latter comes of a time of day that jumped back
-// before the restart; a leaving member that was killed would be leaving for good.
-func outdated(known *record, says *Member) bool {
-	if known.Incarnation < says.Incarnation {
+// needsRefutation reports whether the known state of a member is wrong although its incarnation
+// isn't lower than the one that the member itself claims: the member is believed dead, or its entry
+// is that of an earlier run of its process. The latter happens if the clock was set back before the
+// restart. Without a refutation a leaving member that was killed and restarted would stay leaving
+// permanently.
+func needsRefutation(known *peerState, claimed *Member) bool {
+	if known.Incarnation < claimed.Incarnation {
 		return false
 	}
-	return !known.present() || known.Boot != says.Boot
+	return !known.present() || known.Boot != claimed.Boot
 }
 
-// Merge takes in members that another daemon knows. Those that are new here aren't passed on:
-// who told them has done so, and a daemon that joins a fleet of 195 would else repeat all of
-// them to each of its first hundred partners.
+// Merge adds or updates members that another daemon knows. Those that are new here aren't gossiped:
+// the sender has done so already, and a daemon that joins a fleet of 195 would otherwise repeat all
+// of them to each of its first hundred partners.
 func (m *Membership) Merge(now time.Time, members []Member) {
 	added := false
 	for i := range members {
@@ -302,31 +308,31 @@
 		case m.peers[u.ID] != nil:
 			m.apply(*u, now)
 		case u.present():
-			m.peers[u.ID] = newRecord(*u, now)
+			m.peers[u.ID] = newPeerState(*u, now)
 			added = true
 		}
 	}
 	if added {
-		m.reorder()
-		m.touch(now)
+		m.sortIDs()
+		m.markChanged(now)
 	}
 }
 
-// ServingMemberSeen reports whether a member that has a bundle in force was heard.
-func (m *Membership) ServingMemberSeen() bool { return m.serving }
+// ServingMemberSeen reports whether a message of a member that has a bundle in force was received.
+func (m *Membership) ServingMemberSeen() bool { return m.servingSeen }
 
-// PingAddress pings a daemon that may not be a member yet, so that it knows of this one.
+// PingAddress pings a daemon that may not be a member yet, so that it learns of this one.
 func (m *Membership) PingAddress(at netip.AddrPort) []Envelope { return []Envelope{m.ping(at)} }
 
-// BootstrapMembers returns the members that a newcomer of a zone is told of first: those who read
-// the store before others in its zone, and the first of the whole system. By them it finds who
-// can tell it the rest.
-func (m *Membership) BootstrapMembers(zone bundle.Zone, newcomer ID) []Member {
+// BootstrapMembers returns the members that a joining member of a zone is sent first: the first
+// readers of the store in its zone, and the first reader of the other zones. From these it can
+// request the rest.
+func (m *Membership) BootstrapMembers(zone bundle.Zone, joining ID) []Member {
 	var own []*Member
 	var first *Member
-	for _, o := range m.present() {
+	for _, o := range m.presentMembers() {
 		switch {
-		case o.ID == newcomer:
+		case o.ID == joining:
 		case o.Zone == zone:
 			own = append(own, o)
 		case first == nil || compareReaders(o, first) < 0:
@@ -335,7 +341,7 @@
 	}
 	slices.SortFunc(own, compareReaders)
 	var out []Member
-	for _, o := range own[:min(len(own), maxIntroduced)] {
+	for _, o := range own[:min(len(own), maxBootstrapMembers)] {
 		out = append(out, *o)
 	}
 	if first != nil {
@@ -344,10 +350,11 @@
 	return out
 }
 
-// present returns the members that are there, this daemon first.
-func (m *Membership) present() []*Member {
+// presentMembers returns the members that are neither dead nor left, this daemon first. The
+// pointers refer to the membership's own entries.
+func (m *Membership) presentMembers() []*Member {
 	out := []*Member{&m.self}
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if r := m.peers[id]; r.present() {
 			out = append(out, &r.Member)
 		}
@@ -356,17 +363,17 @@
 }
 
 const (
-	// maxIntroduced is how many members of a newcomer's zone it is told of: two may be starting
-	// or gone.
-	maxIntroduced = 3
-	// introduceFor is how long after a member joined it is told of these with each answer. While
-	// a whole system starts, the largest may come after the first answers.
-	introduceFor = 3 * time.Second
+	// maxBootstrapMembers is the number of members of its own zone that a joining member is sent:
+	// two of them may be starting or may have left.
+	maxBootstrapMembers = 3
+	// bootstrapWindow is how long after a member joined it is sent these with each acknowledgement.
+	// While a whole system starts, the largest hosts may join after the first acknowledgements.
+	bootstrapWindow = 3 * time.Second
 )
 
-// Members returns all members that are there, this daemon first.
+// Members returns all members that are neither dead nor left, this daemon first.
 func (m *Membership) Members() []Member {
-	list := m.present()
+	list := m.presentMembers()
 	out := make([]Member, 0, len(list))
 	for _, o := range list {
 		out = append(out, *o)
@@ -374,8 +381,8 @@
 	return out
 }
 
-// Digest is a sum over the members that are there, with their runs and states. Two
-// daemons with one digest know the same members.
+// Digest returns a sum over the present members with their runs and states. Two daemons with the
+// same digest know the same members.
 func (m *Membership) Digest() uint64 {
 	sum := m.self.digest()
 	for _, r := range m.peers {
@@ -386,16 +393,17 @@
 	return sum
 }
 
-func (m *Membership) touch(now time.Time) {
-	m.changed = now
-	m.unsettled = true
+func (m *Membership) markChanged(now time.Time) {
+	m.changedAt = now
+	m.repeatsPossible = true
 	m.epoch++
 }
 
-// answer acknowledges a ping. One that joined lately is told who can tell it more.
-func (m *Membership) answer(to netip.AddrPort, ping *Message, now time.Time) Envelope {
+// acknowledge returns the acknowledgement of a ping. If the sender joined recently, it carries the
+// members from which the sender can request more.
+func (m *Membership) acknowledge(to netip.AddrPort, ping *Message, now time.Time) Envelope {
 	var known []Member
-	if r := m.peers[ping.From.ID]; r != nil && now.Sub(r.joined) < introduceFor {
+	if r := m.peers[ping.From.ID]; r != nil && now.Sub(r.joinedAt) < bootstrapWindow {
 		known = m.BootstrapMembers(r.Zone, r.ID)
 		known = known[:min(len(known), m.cfg.Updates)]
 	}
@@ -406,7 +414,7 @@
 	return m.envelopeWith(to, k, seq, nil)
 }
 
-// envelopeWith makes a message whose updates begin with given ones.
+// envelopeWith returns a message whose updates begin with those in first.
 func (m *Membership) envelopeWith(to netip.AddrPort, k Kind, seq uint32, first []Member) Envelope {
 	msg := Message{
 		Kind:    k,
@@ -421,25 +429,25 @@
 	return Envelope{To: to, Message: msg}
 }
 
-func newRecord(u Member, now time.Time) *record {
-	return &record{Member: u, since: now, fresh: true, joined: now}
+func newPeerState(u Member, now time.Time) *peerState {
+	return &peerState{Member: u, stateSince: now, recentlyJoined: true, joinedAt: now}
 }
 
 func (m *Membership) add(u Member, now time.Time) {
-	m.peers[u.ID] = newRecord(u, now)
-	m.reorder()
+	m.peers[u.ID] = newPeerState(u, now)
+	m.sortIDs()
 }
 
 func (m *Membership) forget(id ID) {
 	delete(m.peers, id)
-	m.reorder()
+	m.sortIDs()
 }
 
-func (m *Membership) reorder() {
-	m.order = slices.Sorted(maps.Keys(m.peers))
+func (m *Membership) sortIDs() {
+	m.sortedIDs = slices.Sorted(maps.Keys(m.peers))
 }
 
-// present reports whether the member is there, as far as is known.
+// present reports whether the member is neither dead nor left, as far as is known.
 func (m *Member) present() bool {
 	return m.State != StateDead && m.State != StateLeft
 }
--- a/internal/connection/peer/probe.go
+++ b/internal/connection/peer/probe.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// probe is the one probe in progress.
+// probe is the probe in progress. There is at most one.
 type probe struct {
 	target   ID
 	seq      uint32
-	at       time.Time
+	sentAt   time.Time
 	indirect bool
 }
 
-// relay is a probe made for another member.
+// relay is a probe made on behalf of another member.
 type relay struct {
-	to  netip.AddrPort
-	seq uint32
-	at  time.Time
+	to     netip.AddrPort
+	seq    uint32
+	sentAt time.Time
 }
 
-// follow goes on with the probe in progress: after one timeout it asks helpers,
-// after the next it suspects the member.
-func (m *Membership) follow(now time.Time) []Envelope {
-	if m.probe.target == 0 || now.Sub(m.probe.at) < m.cfg.ProbeTimeout {
+// continueProbe handles the timeouts of the probe in progress. After the first timeout it requests
+// probes by helpers and repeats its own, after the second one it suspects the member.
+func (m *Membership) continueProbe(now time.Time) []Envelope {
+	if m.probe.target == 0 || now.Sub(m.probe.sentAt) < m.cfg.ProbeTimeout {
 		return nil
 	}
 	r := m.peers[m.probe.target]
@@ -34,8 +34,8 @@
 	}
 	if !m.probe.indirect {
 		m.probe.indirect = true
-		m.probe.at = now
-		return m.askHelpers(r)
+		m.probe.sentAt = now
+		return m.requestIndirectProbes(r)
 	}
 	m.probe = probe{}
 	if r.State == StateAlive || r.State == StateLeaving {
@@ -46,9 +46,9 @@
 	return nil
 }
 
-func (m *Membership) askHelpers(target *record) []Envelope {
+func (m *Membership) requestIndirectProbes(target *peerState) []Envelope {
 	var out []Envelope
-	ids := slices.Clone(m.order)
+	ids := slices.Clone(m.sortedIDs)
 	m.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids {
 		r := m.peers[id]
@@ -62,19 +62,19 @@
 		e.Message.Target = target.Control
 		out = append(out, e)
 	}
-	// The direct way is tried again too: one lost datagram is no failure.
+	// The direct probe is repeated as well, because the loss of one datagram is not a failure.
 	e := m.envelope(target.Control, KindPing, m.probe.seq)
 	e.FreshPort = true
 	return append(out, e)
 }
 
-// startProbe pings the member whose turn it is. All present members stand in a
-// ring, and in each period everyone probes the one that is a common distance
-// away, so each member is probed once a period. If everyone chose by chance,
-// a dead member would now and then be probed by nobody for a second.
+// startProbe pings the next member. All present members form a ring in the order of their
+// identifiers. In each period every member probes the one at the same distance along the ring, so
+// each member is probed once per period. If members chose their targets at random, a dead member
+// would occasionally be probed by nobody for a second.
 func (m *Membership) startProbe(now time.Time) []Envelope {
 	ring := []ID{m.self.ID}
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if m.peers[id].present() {
 			ring = append(ring, id)
 		}
@@ -85,18 +85,18 @@
 	slices.Sort(ring)
 	round := uint64(now.UnixNano()) / uint64(m.cfg.ProbePeriod)
 	distance := 1 + round%uint64(len(ring)-1)
-	place := uint64(slices.Index(ring, m.self.ID))
-	target := ring[(place+distance)%uint64(len(ring))]
+	position := uint64(slices.Index(ring, m.self.ID))
+	target := ring[(position+distance)%uint64(len(ring))]
 	e := m.ping(m.peers[target].Control)
-	m.probe = probe{target: target, seq: e.Message.Seq, at: now}
+	m.probe = probe{target: target, seq: e.Message.Seq, sentAt: now}
 	return []Envelope{e}
 }
 
-// probeDead pings one member that is out of reach, so that both sides of a cut
-// find each other again without the platform.
+// probeDead pings one member that is unreachable, so that both sides of a network partition detect
+// each other after it heals, without the platform.
 func (m *Membership) probeDead() []Envelope {
 	var dead []ID
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if m.peers[id].State == StateDead {
 			dead = append(dead, id)
 		}
@@ -107,7 +107,7 @@
 	return []Envelope{m.ping(m.peers[dead[m.rng.IntN(len(dead))]].Control)}
 }
 
-func (m *Membership) acknowledged(msg *Message) []Envelope {
+func (m *Membership) handleAck(msg *Message) []Envelope {
 	if msg.Seq == m.probe.seq {
 		m.probe = probe{}
 	}
--- /dev/null
+++ b/internal/connection/upstream/zoneaware.go
@@ -0,0 +1,134 @@
+package upstream
+
+import (
+	"math"
+	"math/rand/v2"
+
+	"github.com/fescueshed/fescueshed/internal/version/bundle"
+)
+
+// ZoneAware places new flows in the daemon's own zone as long as the upstreams there have free
+// capacity. While they are overloaded and another zone isn't, new flows spill over to that zone.
+// Traffic between zones breaks when they are partitioned from each other, and its bytes are paid
+// for. ZoneAware chooses the least loaded of a few random candidates. It isn't safe for concurrent
+// use.
+type ZoneAware struct {
+	zone    bundle.Zone
+	choices int
+	sampled []int
+}
+
+// DefaultChoices is the number of random candidates. The placements of other daemons are known half
+// a second late. If all daemons chose the least loaded of all upstreams, they would send all flows
+// of that time to one upstream. The better of two random choices spreads flows nearly as well as
+// the best of all would with full knowledge (Mitzenmacher 2001).
+const DefaultChoices = 2
+
+// NewZoneAware returns a policy for a daemon in the given zone that chooses among that many random
+// candidates.
+func NewZoneAware(zone bundle.Zone, choices int) *ZoneAware {
+	return &ZoneAware{zone: zone, choices: choices}
+}
+
+// coldFlows is the number of flows by which an upstream counts as more loaded while it is slow
+// after its start, so that it isn't given all new flows during that time.
+const coldFlows = 2
+
+// Conditions under which new flows spill over to another zone. At a utilization of 0.8, requests to
+// the users' upstreams with two or three slots wait about as long as they are processed. The margin
+// keeps two busy zones from sending their flows to each other.
+const (
+	spilloverUtilization = 0.8
+	spilloverMargin      = 0.25
+)
+
+// The utilization is that of the last seconds, whereas the requests that this daemon itself waits
+// for are known immediately. If these alone fill the slots of the upstream that it would choose, a
+// new flow goes to another zone whose upstream has over half a request less per slot. Otherwise the
+// upstreams of a zone would shed requests in a burst while other zones have free capacity.
+const (
+	fullOutstanding   = 1.0
+	outstandingMargin = 0.5
+)
+
+// Choose implements Policy.
+func (z *ZoneAware) Choose(candidates []Candidate, seed uint64) *bundle.UpstreamRoute {
+	own := z.leastLoaded(candidates, seed, true)
+	utilization := z.utilization(candidates)
+	if own != nil && utilization <= spilloverUtilization && own.outstanding() < fullOutstanding {
+		return own.Route
+	}
+	other := z.leastLoaded(candidates, seed, false)
+	switch {
+	case other == nil && own == nil:
+		return nil
+	case own == nil:
+		return other.Route
+	case other == nil || other.ZoneFlowsPerSlot < 0:
+		return own.Route
+	case utilization > spilloverUtilization && other.ZoneFlowsPerSlot*other.RequestsPerFlow+spilloverMargin < utilization:
+		return other.Route
+	case own.outstanding() >= fullOutstanding && other.outstanding()+outstandingMargin < own.outstanding():
+		return other.Route
+	}
+	return own.Route
+}
+
+// utilization estimates the share of the own zone's slots that are in use. It covers the whole
+// zone, because the flows of a single upstream say too little.
+func (z *ZoneAware) utilization(candidates []Candidate) float64 {
+	var busy float64
+	slots := 0
+	for i := range candidates {
+		c := &candidates[i]
+		if c.Route.Zone == z.zone && c.hasCapacity() {
+			busy += float64(c.Load.Total()) * c.RequestsPerFlow
+			slots += c.Route.Slots
+		}
+	}
+	return busy / float64(max(1, slots))
+}
+
+// leastLoaded samples candidates of the own zone or of the others by a partial shuffle and returns
+// the least loaded of them, or nil if none has free capacity.
+func (z *ZoneAware) leastLoaded(candidates []Candidate, seed uint64, own bool) *Candidate {
+	z.sampled = z.sampled[:0]
+	for i := range candidates {
+		if (candidates[i].Route.Zone == z.zone) == own && candidates[i].hasCapacity() {
+			z.sampled = append(z.sampled, i)
+		}
+	}
+	var src rand.PCG
+	src.Seed(seed, seed)
+	rng := rand.New(&src)
+	var best *Candidate
+	least := math.Inf(1)
+	for i := range min(z.choices, len(z.sampled)) {
+		j := i + rng.IntN(len(z.sampled)-i)
+		z.sampled[i], z.sampled[j] = z.sampled[j], z.sampled[i]
+		c := &candidates[z.sampled[i]]
+		if cost := c.cost(); cost < least {
+			best, least = c, cost
+		}
+	}
+	return best
+}
+
+// outstanding returns how many requests to the upstream this daemon waits for, per slot.
+func (c *Candidate) outstanding() float64 {
+	return float64(c.Load.Requests.Load()) / float64(c.Route.Slots)
+}
+
+// hasCapacity reports whether the candidate may be given one more flow.
+func (c *Candidate) hasCapacity() bool {
+	return !c.Route.Drain && c.Load.Total() < int64(c.Route.Connections)
+}
+
+// cost returns the candidate's load per slot.
+func (c *Candidate) cost() float64 {
+	flows := float64(c.Load.Total())
+	if c.Cold {
+		flows += coldFlows
+	}
+	return (flows + requestWeight*float64(c.Load.Requests.Load())) / float64(c.Route.Slots)
+}
