--- a/internal/process/carrier/bundle.go
+++ b/internal/process/carrier/bundle.go
@@ -10,22 +10,22 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// knownBundle returns the position from which the store's bundles are to be watched, zero if they
+// bundlesPosition returns the position from which the store's bundles are to be watched, zero if they
 // must be listed. A daemon that takes over from one that died holds the bundle already: on a thin
 // link a list of it takes longer than the take-over may.
-func (c *Carrier) knownBundle() objects.Position {
+func (c *Carrier) bundlesPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ready() {
+	if !c.canPlaceFlowsLocked() {
 		return 0
 	}
-	return c.known.bundleAsOf
+	return c.state.bundleAsOf
 }
 
 func (c *Carrier) listBundles(s objects.Snapshot[bundle.Accepted], now time.Time) {
 	for i := range s.Objects {
 		if s.Objects[i].Err == nil {
-			c.takeStored(&s.Objects[i])
+			c.applyStoredBundle(&s.Objects[i])
 		}
 	}
 	c.confirmBundle(now, s.AsOf)
@@ -34,33 +34,33 @@
 func (c *Carrier) changeBundles(ch objects.Changes[bundle.Accepted], now time.Time) {
 	for i := range ch.List {
 		if !ch.List[i].Deleted && ch.List[i].Object.Err == nil {
-			c.takeStored(&ch.List[i].Object)
+			c.applyStoredBundle(&ch.List[i].Object)
 		}
 	}
 	c.confirmBundle(now, ch.AsOf)
 }
 
-func (c *Carrier) takeStored(o *objects.Object[bundle.Accepted]) {
+func (c *Carrier) applyStoredBundle(o *objects.Object[bundle.Accepted]) {
 	from := bundleSource{source: "Store", name: o.Name}
-	c.takeBundle(o.Value.Version, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
-		return o.Value, stepFrom(now, o.Value), nil
+	c.applyBundle(o.Value.Version, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
+		return o.Value, updateFrom(now, o.Value), nil
 	})
 }
 
-// takeUpdate takes a bundle that another daemon told by what leads there.
-func (c *Carrier) takeUpdate(u *bundle.Update, from bundleSource) {
-	c.takeBundle(u.To, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
+// applyUpdate takes a bundle that another daemon told by what leads there.
+func (c *Carrier) applyUpdate(u *bundle.Update, from bundleSource) {
+	c.applyBundle(u.To, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		a, err := u.Apply(now)
 		if err != nil || u.From != 0 {
 			return a, u, err
 		}
-		return a, stepFrom(now, a), nil
+		return a, updateFrom(now, a), nil
 	})
 }
 
-// stepFrom returns what leads from the bundle in force to one that came as a whole, nil if there is
+// updateFrom returns what leads from the bundle in force to one that came as a whole, nil if there is
 // none in force.
-func stepFrom(now, to bundle.Accepted) *bundle.Update {
+func updateFrom(now, to bundle.Accepted) *bundle.Update {
 	if now.Bundle == nil {
 		return nil
 	}
@@ -73,9 +73,9 @@
 	age          time.Duration
 }
 
-// takeBundle puts a bundle in force if it is newer than the present one. next makes it from that one,
+// applyBundle puts a bundle in force if it is newer than the present one. next makes it from that one,
 // with what leads from there, nil if there was none.
-func (c *Carrier) takeBundle(
+func (c *Carrier) applyBundle(
 	v bundle.Version, from bundleSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
 ) {
 	routes, changed := 0, 0
@@ -89,9 +89,9 @@
 		}
 		routing := bundle.NewRouting(a.Version, a.Bundle, nil)
 		c.mu.Lock()
-		c.known.history.Add(a, step)
+		c.state.history.Add(a, step)
 		resets := c.engine.SetRouting(routing, time.Now())
-		c.noteReady()
+		c.signalIfReady()
 		c.mu.Unlock()
 		c.data.resets(resets)
 		routes = len(a.Bundle.Routes)
@@ -104,7 +104,7 @@
 		c.refuseBundle(v, from, err)
 		return
 	}
-	c.setLacksWholeBundle(false) // What was told is in force, or something newer is.
+	c.setNeedsWholeBundle(false) // What was told is in force, or something newer is.
 	if taken {
 		klog.InfoS("Bundle in force", "Version", v, "Source", from.source, "Name", from.name, "Age", from.age,
 			"Routes", routes, "Changed", changed)
@@ -117,36 +117,36 @@
 func (c *Carrier) refuseBundle(v bundle.Version, from bundleSource, err error) {
 	klog.ErrorS(err, "Bundle refused", "Version", v, "Source", from.source, "Name", from.name)
 	if eris.Is(err, bundle.ErrNotLedOn) {
-		c.setLacksWholeBundle(true)
+		c.setNeedsWholeBundle(true)
 	}
 }
 
-func (c *Carrier) setLacksWholeBundle(lacks bool) {
+func (c *Carrier) setNeedsWholeBundle(lacks bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known.lacksWholeBundle = lacks
+	c.state.needsWholeBundle = lacks
 }
 
 // bundleInForce returns the bundle in force, the zero value if there is none.
 func (c *Carrier) bundleInForce() bundle.Accepted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known.history.Now()
+	return c.state.history.Now()
 }
 
 // confirmBundle notes that this daemon itself has read which bundle is the newest, as of a position.
 func (c *Carrier) confirmBundle(at time.Time, asOf objects.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if asOf >= c.known.bundleAsOf {
+	if asOf >= c.state.bundleAsOf {
 		c.confirmBundleAt(at, asOf)
 	}
-	c.readHere()
+	c.noteOwnRead()
 }
 
 // confirmBundleAt notes as of when, and as of which position, the bundle in force is the newest.
 // c.mu is held.
 func (c *Carrier) confirmBundleAt(at time.Time, asOf objects.Position) {
-	c.known.confirm(kindBundles, at)
-	c.known.bundleAsOf = max(c.known.bundleAsOf, asOf)
+	c.state.confirm(kindBundles, at)
+	c.state.bundleAsOf = max(c.state.bundleAsOf, asOf)
 }
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -23,11 +23,11 @@
 
 // The periods at which the parts of a daemon look at the time.
 const (
-	// awakePeriod is how often the process shows itself that it runs. It is much
+	// tickPeriod is how often the process shows itself that it runs. It is much
 	// less than pauseLimit, also on a host that gets its processor by tenths of a
 	// second.
-	awakePeriod = 50 * time.Millisecond
-	memberTick  = 100 * time.Millisecond
+	tickPeriod = 50 * time.Millisecond
+	memberTickPeriod  = 100 * time.Millisecond
 	sweepPeriod = 500 * time.Millisecond
 	// pauseLimit is how long the process may not run without being taken for
 	// paused. A shorter one would take a host whose share of a tenth of a second is
@@ -46,26 +46,26 @@
 	members  *members
 	probes   *probes
 	logs     *decisionLog
-	// answered and probed are the histograms of times in seconds.
-	answered, probed metrics.Histogram
+	// answerSeconds and probeSeconds are the histograms of times in seconds.
+	answerSeconds, probeSeconds metrics.Histogram
 	started          time.Time
 	leaving          atomic.Bool
 	start            *startup
 	// unusable counts stored objects that couldn't be used, each time they were read.
 	unusable  atomic.Uint64
 	departure departure
-	outdated  outdated
+	outdatedAnswers  outdatedCounts
 
 	// mu guards what follows.
 	mu      sync.Mutex
 	engine  *cookie.Engine
-	warmers *peer.Warmers
-	reading peer.Reading
-	known   knowledge
-	// origin is the daemon whose news were heard last, passed the last news that this
+	warmupLimiters *peer.Warmers
+	election peer.Reading
+	state   storeState
+	// lastOrigin is the daemon whose news were heard last, passed the last news that this
 	// daemon passed on.
-	origin peer.ID
-	passed word
+	lastOrigin peer.ID
+	lastRelayed advertisementSummary
 }
 
 // New opens the sockets of a daemon and starts its parts. The clean-up function
@@ -76,17 +76,17 @@
 		pauses:   timer.NewPauses(pauseLimit),
 		logs:     newDecisionLog(cfg.LogsPerSecond),
 		started:  time.Now(),
-		known:    knowledge{catalog: registry.NewCatalog()},
+		state:    storeState{catalog: registry.NewCatalog()},
 	}
 	c.start = newStartup(c.started, cfg.FirstStart)
-	c.warmers = peer.NewWarmers(peer.IDOf(cfg.Name), c.started.Add(JoinedAfter))
+	c.warmupLimiters = peer.NewWarmers(peer.IDOf(cfg.Name), c.started.Add(JoinDuration))
 	c.engine = cookie.NewEngine(cookie.Options{
-		Warmer:       c.warmers,
+		Warmer:       c.warmupLimiters,
 		Zone:         cfg.Zone,
 		Regions:      cfg.Regions,
 		Policy:       upstream.NewZoned(cfg.Zone, upstream.DefaultChoices),
 		FlowLifetime: time.Duration(cfg.FlowLifetime),
-		Answered:     func(took time.Duration) { c.answered.Update(took.Seconds()) },
+		Answered:     func(took time.Duration) { c.answerSeconds.Update(took.Seconds()) },
 	})
 	c.cfg.Store(cfg)
 	cleanup, err := steps.Run(ctx,
@@ -100,10 +100,10 @@
 
 func (c *Carrier) startTimer(context.Context) (func(), error) {
 	t, stop := timer.New()
-	t.Subscribe(awakePeriod, c.awake)
-	t.Subscribe(memberTick, c.members.tick)
+	t.Subscribe(tickPeriod, c.tick)
+	t.Subscribe(memberTickPeriod, c.members.tick)
 	t.Subscribe(sweepPeriod, c.sweep)
-	t.Subscribe(peer.EagerPeriod, c.tellEagerly)
+	t.Subscribe(peer.EagerPeriod, c.sendLoadsEagerly)
 	return stop, nil
 }
 
@@ -121,26 +121,26 @@
 }
 
 // Ready reports whether routers should send packets here.
-func (c *Carrier) Ready() bool { return c.placesFlows() && !c.leaving.Load() }
+func (c *Carrier) Ready() bool { return c.canPlaceFlows() && !c.leaving.Load() }
 
-// placesFlows reports whether the daemon knows enough to place flows.
-func (c *Carrier) placesFlows() bool {
+// canPlaceFlows reports whether the daemon knows enough to place flows.
+func (c *Carrier) canPlaceFlows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ready()
+	return c.canPlaceFlowsLocked()
 }
 
-// ready is placesFlows while c.mu is held. Without the evacuated zones no flow is placed: the first
+// canPlaceFlowsLocked is placesFlows while c.mu is held. Without the evacuated zones no flow is placed: the first
 // ones would enter a zone that is being emptied.
-func (c *Carrier) ready() bool {
-	return c.engine.Ready() && !c.known.confirmed[kindEvacuations].IsZero()
+func (c *Carrier) canPlaceFlowsLocked() bool {
+	return c.engine.Ready() && !c.state.confirmed[kindEvacuations].IsZero()
 }
 
-// noteReady lets those go on that wait for the daemon to know enough to place flows. c.mu is
+// signalIfReady lets those go on that wait for the daemon to know enough to place flows. c.mu is
 // held.
-func (c *Carrier) noteReady() {
-	if c.ready() {
-		c.start.ready.happen()
+func (c *Carrier) signalIfReady() {
+	if c.canPlaceFlowsLocked() {
+		c.start.ready.set()
 	}
 }
 
@@ -152,7 +152,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, r := range c.known.catalog.InUse() {
+	for _, r := range c.state.catalog.InUse() {
 		if r.Known() {
 			n++
 		}
@@ -160,12 +160,12 @@
 	return n
 }
 
-// Takes returns how many registered upstreams may get new flows, as far as their entries say.
-func (c *Carrier) Takes() int {
+// AvailableUpstreams returns how many registered upstreams may get new flows, as far as their entries say.
+func (c *Carrier) AvailableUpstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, r := range c.known.catalog.InUse() {
+	for _, r := range c.state.catalog.InUse() {
 		if !r.Unusable && !r.Draining {
 			n++
 		}
@@ -176,15 +176,15 @@
 // Members returns how many daemons this one knows, itself among them.
 func (c *Carrier) Members() int { return len(c.members.view.Load().Members) }
 
-// Reads reports whether the daemon reads the store now.
-func (c *Carrier) Reads() bool { return c.reads(time.Now()) }
+// ReadsStore reports whether the daemon reads the store now.
+func (c *Carrier) ReadsStore() bool { return c.shouldReadStore(time.Now()) }
 
-// awake runs often: it notices pauses, sends due probes and lets doubts of the
+// tick runs often: it notices pauses, sends due probes and lets doubts of the
 // store's list end.
-func (c *Carrier) awake(now time.Time) {
+func (c *Carrier) tick(now time.Time) {
 	c.pauses.Seen(now)
 	c.mu.Lock()
-	c.expireList(now)
+	c.expireHeldUpstreams(now)
 	c.expireEvacuations(now)
 	due := c.engine.DueProbes(now)
 	c.mu.Unlock()
@@ -194,19 +194,19 @@
 // sweep forgets flows that went and tells the zone what this daemon counts.
 func (c *Carrier) sweep(now time.Time) {
 	c.mu.Lock()
-	c.warmers.See(c.members.view.Load(), now)
+	c.warmupLimiters.See(c.members.view.Load(), now)
 	c.engine.Expire(now)
 	c.mu.Unlock()
-	c.members.tellLoads(now)
-	c.members.tellNews(now)
-	c.members.passed.forget(now)
-	c.members.lines.sum(c.Members(), now)
+	c.members.sendLoads(now)
+	c.members.advertise(now)
+	c.members.relayed.expire(now)
+	c.members.changes.sum(c.Members(), now)
 }
 
-// tellEagerly tells loads more often for a while after the start.
-func (c *Carrier) tellEagerly(now time.Time) {
+// sendLoadsEagerly tells loads more often for a while after the start.
+func (c *Carrier) sendLoadsEagerly(now time.Time) {
 	if peer.TellsEagerly(now.Sub(c.started)) {
-		c.members.tellLoads(now)
+		c.members.sendLoads(now)
 	}
 }
 
@@ -215,12 +215,12 @@
 	began := time.Now()
 	c.departure.begin(began, c.cfg.Load().LingerLimit())
 	c.leaving.Store(true)
-	c.members.leave()
+	c.members.sendLeaving()
 	klog.InfoS("Leaving", "Flows", c.flows())
-	for now := began; !c.departure.over(now); now = time.Now() {
+	for now := began; !c.departure.mayEnd(now); now = time.Now() {
 		time.Sleep(departurePoll)
 	}
-	c.members.left()
+	c.members.sendLeft()
 	klog.InfoS("Left", "Flows", c.flows(), "After", time.Since(began))
 }
 
@@ -229,7 +229,7 @@
 	if c.Ready() {
 		return true
 	}
-	c.departure.checked(time.Now())
+	c.departure.readinessRefused(time.Now())
 	return false
 }
 
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/carrier/carrier_test.go
@@ -23,9 +23,9 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// patience bounds what is awaited. It is far more than a test takes; how long it
+// waitTimeout bounds what is awaited. It is far more than a test takes; how long it
 // took isn't judged.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // node is a balancer in this process.
 type node struct {
@@ -86,8 +86,8 @@
 		nodes = append(nodes, startNode(w, h))
 	}
 	for _, n := range nodes {
-		Eventually(n.Ready, patience).Should(BeTrue())
-		Eventually(n.Members, patience).Should(Equal(len(nodes)))
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Members, waitTimeout).Should(Equal(len(nodes)))
 	}
 	return nodes
 }
@@ -107,7 +107,7 @@
 	It("carry callers' flows, each answer to its own request", func() {
 		w := newWorld(3)
 		startAll(w)
-		Eventually(w.Router.InRotation, patience).Should(Equal(3))
+		Eventually(w.Router.InRotation, waitTimeout).Should(Equal(3))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		tallies, err := w.Work(ctx)
@@ -129,13 +129,13 @@
 		nodes := startAll(w)
 		// Right after the start every daemon still reads; if all of them were cut off,
 		// nobody could know of the bundle. Then one reads for all zones.
-		Eventually(func() int { return readers(nodes) }, patience).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 		for _, n := range nodes {
-			if n.Reads() {
+			if n.ReadsStore() {
 				n.host.Proxy.Set(world.LinkSilent)
 			}
 		}
-		Eventually(inForce(nodes, w.Roll()), patience).Should(BeTrue())
+		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
 	})
 
 	// All daemons of a zone lose the store at once, as when its switch fails towards
@@ -152,8 +152,8 @@
 		}
 		Expect(cut).To(Equal(2))
 		// What daemons fetch once after their start must not help.
-		time.Sleep(carrier.JoinedAfter)
-		Eventually(inForce(nodes, w.Roll()), patience).Should(BeTrue())
+		time.Sleep(carrier.JoinDuration)
+		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
 	})
 
 	// All hosts come back from a loss of power at once, and the store refuses what is
@@ -163,7 +163,7 @@
 		w.Store.SetTrouble(metadata.Trouble{ServeOneOf: 4})
 		for _, h := range w.Hosts {
 			n := startNode(w, h)
-			Eventually(n.Ready, patience).Should(BeTrue())
+			Eventually(n.Ready, waitTimeout).Should(BeTrue())
 			Expect(n.Upstreams()).To(Equal(12))
 		}
 	})
@@ -178,7 +178,7 @@
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		w.Store.Forget()
 		for _, n := range nodes {
-			Eventually(n.Upstreams, patience).Should(Equal(13))
+			Eventually(n.Upstreams, waitTimeout).Should(Equal(13))
 		}
 	})
 
@@ -189,7 +189,7 @@
 		w.Store.Lag()
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, patience).Should(BeTrue())
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(13))
 	})
 
@@ -201,7 +201,7 @@
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		w.Store.Forget()
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, patience).Should(BeTrue())
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(13))
 	})
 
@@ -211,11 +211,11 @@
 		w := newWorld(3)
 		w.Store.Put(wire.KindServers, "i-0000000001", &wire.Server{Service: world.ServiceFeed})
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, patience).Should(BeTrue())
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(12))
 		w.Store.Put(wire.KindServers, "i-0000000002", "neither can this")
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
-		Eventually(n.Upstreams, patience).Should(Equal(13))
+		Eventually(n.Upstreams, waitTimeout).Should(Equal(13))
 	})
 
 	// Another writer replaces upstreams' entries while the balancers run. Those that don't
@@ -226,21 +226,21 @@
 		names, restore := w.ReplaceEntries(11)
 		Expect(names).To(HaveLen(11))
 		takes := func(n *node) func() int {
-			return func() int { return n.Takes() }
+			return func() int { return n.AvailableUpstreams() }
 		}
 		for _, n := range nodes {
-			Eventually(takes(n), patience).Should(Equal(1))
+			Eventually(takes(n), waitTimeout).Should(Equal(1))
 			Expect(n.Upstreams()).To(Equal(12), "open flows go on")
 		}
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		late := startNode(w, h)
-		Eventually(late.Ready, patience).Should(BeTrue())
-		Expect(late.Takes()).To(Equal(1))
-		Eventually(late.Upstreams, patience).Should(Equal(12), "others tell it what was known before")
+		Eventually(late.Ready, waitTimeout).Should(BeTrue())
+		Expect(late.AvailableUpstreams()).To(Equal(1))
+		Eventually(late.Upstreams, waitTimeout).Should(Equal(12), "others tell it what was known before")
 		restore()
 		for _, n := range append(nodes, late) {
-			Eventually(takes(n), patience).Should(Equal(12))
+			Eventually(takes(n), waitTimeout).Should(Equal(12))
 		}
 	})
 
@@ -251,7 +251,7 @@
 		startAll(w)
 		const kind, name = "fescueshed-contacts", "main"
 		w.Store.Put(kind, name, "not contacts")
-		Eventually(func() string { return w.Store.Content(kind, name) }, patience).Should(ContainSubstring("host-1"))
+		Eventually(func() string { return w.Store.Content(kind, name) }, waitTimeout).Should(ContainSubstring("host-1"))
 	})
 
 	// All hosts of the settings' time were replaced, so the seeds of a new host name
@@ -260,12 +260,12 @@
 	It("find each other though no seed is there any more", func() {
 		w := newWorld(3)
 		startAll(w)
-		time.Sleep(carrier.JoinedAfter) // Then the reader keeps the contacts.
+		time.Sleep(carrier.JoinDuration) // Then the reader keeps the contacts.
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		h.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.9.9:9")}
 		n := startNode(w, h)
-		Eventually(n.Members, patience).Should(Equal(4))
+		Eventually(n.Members, waitTimeout).Should(Equal(4))
 	})
 
 	// A host starts while the store is away. When it is ready, it forwards first
@@ -286,7 +286,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		time.Sleep(500 * time.Millisecond)
 		h.Proxy.Set(world.LinkGood)
-		Eventually(func() string { return metricsOf(n) }, patience).Should(
+		Eventually(func() string { return metricsOf(n) }, waitTimeout).Should(
 			ContainSubstring(`fescueshed_packets_dropped_total{cause="StaleOpen"} 1`))
 	})
 
@@ -299,7 +299,7 @@
 		v := w.Roll()
 		w.Store.Forget()
 		w.Store.SetTrouble(metadata.Trouble{})
-		Eventually(inForce(nodes, v), patience).Should(BeTrue())
+		Eventually(inForce(nodes, v), waitTimeout).Should(BeTrue())
 	})
 
 	// A new host's keys were taken away at the store: it never gets an answer there,
@@ -312,19 +312,19 @@
 			nodes = append(nodes, startNode(w, h))
 		}
 		for _, n := range nodes {
-			Eventually(n.Ready, patience).Should(BeTrue())
+			Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		}
 		turnedAway := startNode(w, w.Hosts[3])
-		Eventually(turnedAway.Ready, patience).Should(BeTrue())
+		Eventually(turnedAway.Ready, waitTimeout).Should(BeTrue())
 		Expect(turnedAway.Upstreams()).To(Equal(nodes[0].Upstreams()))
-		Eventually(inForce([]*node{turnedAway}, w.Roll()), patience).Should(BeTrue())
+		Eventually(inForce([]*node{turnedAway}, w.Roll()), waitTimeout).Should(BeTrue())
 	})
 
 	It("call the store no more often when there are more of them", func() {
 		callsWith := func(hosts int) int {
 			w := newWorld(hosts)
 			nodes := startAll(w)
-			Eventually(func() int { return readers(nodes) }, patience).Should(Equal(1))
+			Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 			before := w.Store.Calls()
 			time.Sleep(2 * time.Second)
 			return w.Store.Calls() - before
@@ -343,14 +343,14 @@
 		changed.Store = "http://127.0.0.9:1"
 		changed.Zone = "elsewhere"
 		n.Reload(&changed)
-		Eventually(inForce(nodes, w.Roll()), patience).Should(BeTrue(), "the old settings are in force")
+		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue(), "the old settings are in force")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			n.Leave()
 		}()
-		Eventually(n.Ready, patience).Should(BeFalse())
-		Eventually(done, patience).Should(BeClosed())
+		Eventually(n.Ready, waitTimeout).Should(BeFalse())
+		Eventually(done, waitTimeout).Should(BeClosed())
 	})
 
 	It("serve metrics", func() {
@@ -376,7 +376,7 @@
 func readers(nodes []*node) int {
 	n := 0
 	for _, o := range nodes {
-		if o.Reads() {
+		if o.ReadsStore() {
 			n++
 		}
 	}
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -25,12 +25,12 @@
 	// different lists by two readers would else fill the link of a small host.
 	pullPause   = 500 * time.Millisecond
 	urgentPause = 100 * time.Millisecond
-	// minTold is how many others that start are told everything at once by a small host, and
+	// minJoinSlots is how many others that start are told everything at once by a small host, and
 	// toldByCore by one with a whole core. A list of 3000 upstreams is 150 KB; a hundred hosts that
 	// start together would fill a small host's link of 20 Mbit/s for seconds, and a large one has
 	// ten times as much. Those that are turned away ask again or read the store.
-	minTold    = 4
-	toldByCore = 64
+	minJoinSlots    = 4
+	joinSlotsPerCore = 64
 	// codeBusy is the code of the error that says so, of those that JSON-RPC 2.0
 	// leaves to the application.
 	codeBusy = 1
@@ -39,11 +39,11 @@
 // pull fetches everything from another daemon, one at a time. A list that differs
 // can wait longer than a new bundle: the store's readers differ for moments.
 func (m *members) pull(from netip.AddrPort, urgent bool) {
-	if !m.pulling.CompareAndSwap(false, true) {
+	if !m.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	m.wg.Go(func() {
-		defer m.pulling.Store(false)
+		defer m.fetching.Store(false)
 		if err := m.fetch(from, pullTimeout); err != nil {
 			klog.V(1).InfoS("Catalog not fetched", "From", from, "Error", err)
 		}
@@ -61,13 +61,13 @@
 	sent := time.Now()
 	c := m.c
 	c.mu.Lock()
-	params := peer.CatalogParams{AsOf: c.known.catalog.AsOf, Digest: c.known.catalog.Digest(), Whole: c.known.lacksWholeList}
-	if !c.known.lacksWholeBundle {
-		params.Version = c.known.history.Now().Version
+	params := peer.CatalogParams{AsOf: c.state.catalog.AsOf, Digest: c.state.catalog.Digest(), Whole: c.state.needsWholeList}
+	if !c.state.needsWholeBundle {
+		params.Version = c.state.history.Now().Version
 	}
 	c.mu.Unlock()
-	params.Joining = sent.Sub(c.started) < JoinedAfter
-	if !c.start.ready.happened() {
+	params.Joining = sent.Sub(c.started) < JoinDuration
+	if !c.start.ready.isSet() {
 		params.Zone = c.cfg.Load().Zone
 	}
 	m.mu.Lock()
@@ -78,7 +78,7 @@
 		return err
 	}
 	now := time.Now()
-	m.do(func(g *peer.Membership) []peer.Envelope {
+	m.update(func(g *peer.Membership) []peer.Envelope {
 		g.Learn(now, got.Members)
 		return nil
 	})
@@ -87,14 +87,14 @@
 		if err != nil {
 			return err
 		}
-		c.takeUpdate(u, bundleSource{source: "Peer", name: from.String(), age: got.Age})
+		c.applyUpdate(u, bundleSource{source: "Peer", name: from.String(), age: got.Age})
 	}
-	c.data.resets(c.takeCatalog(got, sent.Add(-got.Age), now))
-	m.tellNews(now)
+	c.data.resets(c.applyCatalog(got, sent.Add(-got.Age), now))
+	m.advertise(now)
 	c.mu.Lock()
-	origin := c.origin
+	origin := c.lastOrigin
 	c.mu.Unlock()
-	m.passNews(origin, now)
+	m.relayAdvertisement(origin, now)
 	return nil
 }
 
@@ -107,7 +107,7 @@
 		transfer.Limits{Begin: timeout, Stall: min(timeout, transfer.DefaultStall)}, &m.pulls,
 	)
 	if err != nil && t.Bytes() > 0 {
-		m.logBrokenOff(from, t.Bytes(), time.Since(began), err)
+		m.logIncomplete(from, t.Bytes(), time.Since(began), err)
 	}
 	if err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 // pullLines is how many lines a second tell of fetches that broke off.
 const pullLines = 2
 
-func (m *members) logBrokenOff(from netip.AddrPort, got uint64, after time.Duration, err error) {
+func (m *members) logIncomplete(from netip.AddrPort, got uint64, after time.Duration, err error) {
 	m.mu.Lock()
 	left, ok := m.pullLines.Allow(time.Now())
 	m.mu.Unlock()
@@ -127,61 +127,61 @@
 	}
 }
 
-// takeCatalog takes in a list that another daemon knew as of a time. It returns resets for
+// applyCatalog takes in a list that another daemon knew as of a time. It returns resets for
 // flows that ended by it.
-func (c *Carrier) takeCatalog(got *peer.Catalog, as, now time.Time) []cookie.Reset {
+func (c *Carrier) applyCatalog(got *peer.Catalog, as, now time.Time) []cookie.Reset {
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.engine.LearnGone(got.Gone, now)
-	if got.AsOf.Epoch() < c.known.epoch {
+	if got.AsOf.Epoch() < c.state.epoch {
 		return nil // It is of a store that is no longer.
 	}
-	c.seeEpoch(got.AsOf, "Peer", now)
+	c.observeEpoch(got.AsOf, "Peer", now)
 	if got.Known {
-		c.takeEvacuations(got.Evacuated, bundleSource{source: "Peer", age: now.Sub(as)}, now)
+		c.applyEvacuations(got.Evacuated, bundleSource{source: "Peer", age: now.Sub(as)}, now)
 		c.confirmEvacuations(as)
 	}
 	if got.Known && got.Version <= version {
 		c.confirmBundleAt(as, got.BundleAsOf)
 	}
-	if got.AsOf < c.known.catalog.AsOf || !got.Listed && !got.Changed {
-		return c.takeHeldBack(&got.Held, now)
+	if got.AsOf < c.state.catalog.AsOf || !got.Listed && !got.Changed {
+		return c.applyHeldBack(&got.Held, now)
 	}
-	c.known.catalog.DoubtFor(got.Doubt, now)
-	changed := c.changeList(func() bool {
+	c.state.catalog.DoubtFor(got.Doubt, now)
+	changed := c.changeCatalog(func() bool {
 		if got.Listed {
-			return c.known.catalog.Replace(got.Registrations, got.AsOf, now)
+			return c.state.catalog.Replace(got.Registrations, got.AsOf, now)
 		}
-		return c.known.catalog.Apply(got.Changes, got.AsOf, now)
+		return c.state.catalog.Apply(got.Changes, got.AsOf, now)
 	})
 	var resets []cookie.Reset
 	if changed {
-		resets = c.follow(now)
+		resets = c.updateEngine(now)
 	}
-	resets = append(resets, c.takeHeldBack(&got.Held, now)...)
+	resets = append(resets, c.applyHeldBack(&got.Held, now)...)
 	// Changes may not have led to the sender's list: entries of the same revision that
 	// only one of the two has. Then the whole list is asked for next.
-	c.known.lacksWholeList = got.Changed && got.Digest != c.known.catalog.Digest()
-	if c.known.lacksWholeList {
+	c.state.needsWholeList = got.Changed && got.Digest != c.state.catalog.Digest()
+	if c.state.needsWholeList {
 		return resets
 	}
 	c.confirmList(as)
 	if got.Known && got.Version <= version {
-		c.reading.Heard(as, false)
+		c.election.Heard(as, false)
 	}
 	return resets
 }
 
-// takeHeldBack takes over what another daemon goes by in place of what the store says. It returns resets for flows that
+// applyHeldBack takes over what another daemon goes by in place of what the store says. It returns resets for flows that
 // ended by it. c.mu is held.
-func (c *Carrier) takeHeldBack(h *peer.HeldBack, now time.Time) []cookie.Reset {
-	before := c.known.evacuated.Zones()
-	if c.known.evacuated.HoldBack(h.Zones, h.ZonesFor, now) {
-		c.putEvacuations(before, bundleSource{source: "Peer"}, now)
+func (c *Carrier) applyHeldBack(h *peer.HeldBack, now time.Time) []cookie.Reset {
+	before := c.state.evacuated.Zones()
+	if c.state.evacuated.HoldBack(h.Zones, h.ZonesFor, now) {
+		c.enforceEvacuations(before, bundleSource{source: "Peer"}, now)
 	}
-	if c.known.catalog.HoldBack(h.Upstreams, h.UpstreamsFor, now) {
-		return c.follow(now)
+	if c.state.catalog.HoldBack(h.Upstreams, h.UpstreamsFor, now) {
+		return c.updateEngine(now)
 	}
 	return nil
 }
@@ -198,15 +198,15 @@
 	}
 	if params.Joining {
 		select {
-		case m.telling <- struct{}{}:
-			defer func() { <-m.telling }()
+		case m.joinSlots <- struct{}{}:
+			defer func() { <-m.joinSlots }()
 		default:
 			return nil, &jsonrpc2.Error{Code: codeBusy, Message: "others are told already"}
 		}
 	}
-	out, update := m.c.tell(params)
+	out, update := m.c.catalogFor(params)
 	if params.Joining {
-		out.Members = m.toldMembers(&params)
+		out.Members = m.membersFor(&params)
 	}
 	if update != nil {
 		var err error
@@ -218,8 +218,8 @@
 	return sealed, eris.Wrap(err, "catalog")
 }
 
-// toldMembers returns the members that one which joins is told of.
-func (m *members) toldMembers(params *peer.CatalogParams) []peer.Member {
+// membersFor returns the members that one which joins is told of.
+func (m *members) membersFor(params *peer.CatalogParams) []peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
@@ -231,47 +231,47 @@
 	return nil
 }
 
-// tell returns what this daemon knows and the asker doesn't, and what leads to the bundle in force
+// catalogFor returns what this daemon knows and the asker doesn't, and what leads to the bundle in force
 // from the asker's, nil if it has that. The latter is yet to be packed: that takes too long for
 // packets to wait.
-func (c *Carrier) tell(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
+func (c *Carrier) catalogFor(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := &peer.Catalog{
-		Version: c.known.history.Now().Version, BundleAsOf: c.known.bundleAsOf, Evacuated: c.known.evacuated.Stored,
+		Version: c.state.history.Now().Version, BundleAsOf: c.state.bundleAsOf, Evacuated: c.state.evacuated.Stored,
 	}
 	var update *bundle.Update
 	if out.Version > params.Version {
-		update = c.known.history.Since(params.Version)
+		update = c.state.history.Since(params.Version)
 	}
 	if params.Joining {
 		out.Gone = c.engine.Gone()
 	}
-	out.AsOf, out.Digest = c.known.catalog.AsOf, c.known.catalog.Digest()
-	out.Doubt = c.known.catalog.Doubt(now)
-	known := c.known.confirmedAll()
+	out.AsOf, out.Digest = c.state.catalog.AsOf, c.state.catalog.Digest()
+	out.Doubt = c.state.catalog.Doubt(now)
+	known := c.state.confirmedAll()
 	if known.IsZero() {
 		return out, update
 	}
 	out.Known, out.Age = true, now.Sub(known)
 	if params.Joining {
-		out.Held.Upstreams, out.Held.UpstreamsFor = c.known.catalog.HeldBack(now)
-		out.Held.Zones, out.Held.ZonesFor = c.known.evacuated.HeldBack(now)
-		out.Changes = c.known.catalog.Remembered()
+		out.Held.Upstreams, out.Held.UpstreamsFor = c.state.catalog.HeldBack(now)
+		out.Held.Zones, out.Held.ZonesFor = c.state.evacuated.HeldBack(now)
+		out.Changes = c.state.catalog.Remembered()
 		out.Changed = len(out.Changes) > 0
 	}
-	if params.AsOf == out.AsOf && params.Digest == c.known.catalog.Digest() || params.AsOf > out.AsOf {
+	if params.AsOf == out.AsOf && params.Digest == c.state.catalog.Digest() || params.AsOf > out.AsOf {
 		return out, update
 	}
 	out.Changed = false
 	if !params.Whole {
-		changes, ok := c.known.catalog.Since(params.AsOf)
+		changes, ok := c.state.catalog.Since(params.AsOf)
 		out.Changes, out.Changed = append(out.Changes, changes...), ok
 	}
 	if !out.Changed {
 		out.Listed = true
-		out.Registrations = c.known.catalog.List()
+		out.Registrations = c.state.catalog.List()
 	}
 	return out, update
 }
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/carrier/contacts.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// lonelyAfter is when a daemon that knows no other one asks the store for contacts: the seeds
+	// aloneDelay is when a daemon that knows no other one asks the store for contacts: the seeds
 	// had three chances to answer. Soon after, peer.Start.ReaderRank lets it follow the store as one
 	// that is alone, at some two calls a second. The pause to the next question doubles up to
 	// lonelyAtMost, since a system of a single host is alone for good.
-	lonelyAfter  = 700 * time.Millisecond
-	lonelyAtMost = time.Minute
-	// lonelyAtFirst is the same at the first start of a system: nobody has written contacts, and
+	aloneDelay  = 700 * time.Millisecond
+	maxAloneDelay = time.Minute
+	// firstStartAloneDelay is the same at the first start of a system: nobody has written contacts, and
 	// nobody waits.
-	lonelyAtFirst = 2 * time.Second
-	// contactsPeriod is how often the reader looks whether the contacts in the store are
+	firstStartAloneDelay = 2 * time.Second
+	// contactsCheckPeriod is how often the reader looks whether the contacts in the store are
 	// out of date, by what it has read of them; contactsRead is how often it reads them
 	// again, so that two parts of the system that lost each other meet.
-	contactsPeriod = 2 * time.Second
-	contactsRead   = 2 * time.Minute
+	contactsCheckPeriod = 2 * time.Second
+	contactsReadPeriod   = 2 * time.Minute
 )
 
 // contacts keeps the object in the store by which daemons find each other when their
@@ -33,9 +33,9 @@
 type contacts struct {
 	c    *Carrier
 	cell objects.Cell[peer.Contacts]
-	// known is what was read or written last, at a time, in an epoch of the store.
-	known objects.Object[peer.Contacts]
-	at    time.Time
+	// latest is what was read or written last, at a time, in an epoch of the store.
+	latest objects.Object[peer.Contacts]
+	latestAt    time.Time
 	epoch objects.Epoch
 }
 
@@ -54,9 +54,9 @@
 }
 
 func (k *contacts) run(ctx context.Context) {
-	pause := lonelyAfter
+	pause := aloneDelay
 	if k.c.start.First {
-		pause = lonelyAtFirst
+		pause = firstStartAloneDelay
 	}
 	for {
 		sleep(ctx, pause)
@@ -65,25 +65,25 @@
 		}
 		switch {
 		case k.c.Members() == 1:
-			k.meet(ctx)
-			pause = min(2*pause, lonelyAtMost)
-		case k.keeps(time.Now()):
-			k.keep(ctx)
-			pause = contactsPeriod
+			k.findMembers(ctx)
+			pause = min(2*pause, maxAloneDelay)
+		case k.writes(time.Now()):
+			k.refresh(ctx)
+			pause = contactsCheckPeriod
 		default:
-			pause = contactsPeriod
+			pause = contactsCheckPeriod
 		}
 	}
 }
 
-// keeps reports whether this daemon keeps the contacts now: it is the reader of all and
+// writes reports whether this daemon writes the contacts now: it is the reader of all and
 // started long enough ago to know the others.
-func (k *contacts) keeps(now time.Time) bool {
-	return now.Sub(k.c.started) > JoinedAfter && k.c.members.view.Load().ReaderRank() == 0 && k.c.reads(now)
+func (k *contacts) writes(now time.Time) bool {
+	return now.Sub(k.c.started) > JoinDuration && k.c.members.view.Load().ReaderRank() == 0 && k.c.shouldReadStore(now)
 }
 
-// meet asks the daemons that the contacts name, if there are any.
-func (k *contacts) meet(ctx context.Context) {
+// findMembers asks the daemons that the contacts name, if there are any.
+func (k *contacts) findMembers(ctx context.Context) {
 	if err := k.read(ctx); err != nil {
 		klog.InfoS("No contacts in the store", "Error", err.Error())
 		return
@@ -102,43 +102,43 @@
 		k.c.unusable.Add(1)
 		klog.ErrorS(o.Err, "Contacts can't be used", "Revision", o.Revision)
 	}
-	k.known, k.at = o, time.Now()
+	k.latest, k.latestAt = o, time.Now()
 	return nil
 }
 
 // ping asks those contacts that aren't members.
 func (k *contacts) ping() {
-	k.c.members.do(func(g *peer.Membership) []peer.Envelope { return g.Seed(k.known.Value.Addresses()) })
+	k.c.members.update(func(g *peer.Membership) []peer.Envelope { return g.Seed(k.latest.Value.Addresses()) })
 }
 
-// keep replaces the contacts in the store if they are out of date.
-func (k *contacts) keep(ctx context.Context) {
+// refresh replaces the contacts in the store if they are out of date.
+func (k *contacts) refresh(ctx context.Context) {
 	if epoch := k.c.storeEpoch(); epoch != k.epoch {
 		// They may have been lost with the time since the snapshot.
-		k.at, k.epoch = time.Time{}, epoch
+		k.latestAt, k.epoch = time.Time{}, epoch
 	}
-	if k.at.IsZero() || time.Since(k.at) > contactsRead {
+	if k.latestAt.IsZero() || time.Since(k.latestAt) > contactsReadPeriod {
 		switch err := k.read(ctx); {
 		case eris.Is(err, objects.ErrNotFound):
-			k.known = objects.Object[peer.Contacts]{}
+			k.latest = objects.Object[peer.Contacts]{}
 		case err != nil:
 			klog.InfoS("Contacts not read", "Error", err.Error())
 			return
 		}
-		k.at = time.Now()
+		k.latestAt = time.Now()
 		k.ping()
 	}
 	v := k.c.members.view.Load()
-	if !v.Outdated(&k.known.Value) {
+	if !v.Outdated(&k.latest.Value) {
 		return
 	}
-	next := v.Contacts(&k.known.Value)
-	if err := k.cell.Put(ctx, next, k.known.Revision); err != nil {
-		klog.InfoS("Contacts not replaced", "Revision", k.known.Revision, "Error", err.Error())
+	next := v.Contacts(&k.latest.Value)
+	if err := k.cell.Put(ctx, next, k.latest.Revision); err != nil {
+		klog.InfoS("Contacts not replaced", "Revision", k.latest.Revision, "Error", err.Error())
 	} else {
-		klog.InfoS("Contacts replaced", "Members", len(next.Members), "Revision", k.known.Revision)
+		klog.InfoS("Contacts replaced", "Members", len(next.Members), "Revision", k.latest.Revision)
 	}
 	// The write may have taken effect without an answer, or another daemon may have
 	// written: the next look reads them anew.
-	k.at = time.Time{}
+	k.latestAt = time.Time{}
 }
--- a/internal/process/carrier/data.go
+++ b/internal/process/carrier/data.go
@@ -31,9 +31,9 @@
 	maxPacketBytes = 2048
 	// socketBufferBytes takes a second of a small host's packets.
 	socketBufferBytes = 1 << 20
-	// freshStart is how long packets may wait for a daemon that isn't ready. Callers
+	// maxFirstPacketWait is how long packets may wait for a daemon that isn't ready. Callers
 	// repeat a first packet after 200 ms, perhaps to another daemon.
-	freshStart = 200 * time.Millisecond
+	maxFirstPacketWait = 200 * time.Millisecond
 )
 
 func (c *Carrier) startData(ctx context.Context) (func(), error) {
@@ -76,7 +76,7 @@
 		}
 		d.handle(buf[:head+n], now, late)
 		if late {
-			d.drain(buf)
+			d.drainSocket(buf)
 		}
 	}
 }
@@ -85,15 +85,15 @@
 // socket. The daemon learns by it that callers wait. It reports whether that took long, and false
 // if the daemon ends before.
 func (d *data) await(ctx context.Context) (late, ok bool) {
-	if d.c.start.ready.happened() {
+	if d.c.start.ready.isSet() {
 		return false, true
 	}
 	came := time.Now()
-	d.c.start.callersWait.happen()
+	d.c.start.callersWaiting.set()
 	if !d.c.awaitReady(ctx) {
 		return false, false
 	}
-	return time.Since(came) > freshStart, true
+	return time.Since(came) > maxFirstPacketWait, true
 }
 
 func (d *data) paused(now time.Time) {
@@ -103,12 +103,12 @@
 	d.c.logs.paused()
 }
 
-// drain handles what waited in the socket while the process couldn't read it.
+// drainSocket handles what waited in the socket while the process couldn't read it.
 // First packets are dropped: their callers have sent copies meanwhile, and
 // perhaps a flow has opened by one of them. A second upstream would answer the
 // late one, the caller would repeat its cookie, and the flow's packets would go
 // to an upstream that resets them.
-func (d *data) drain(buf []byte) {
+func (d *data) drainSocket(buf []byte) {
 	raw, err := d.conn.SyscallConn()
 	if err != nil {
 		return // The socket was closed; the next read says so.
@@ -200,7 +200,7 @@
 
 // inputs returns what decisions rest on now. c.mu is held.
 func (c *Carrier) inputs(now time.Time) inputs {
-	return inputs{bundle: c.engine.Version(), listAge: now.Sub(c.known.confirmed[kindUpstreams])}
+	return inputs{bundle: c.engine.Version(), listAge: now.Sub(c.state.confirmed[kindUpstreams])}
 }
 
 func (c *Carrier) drop(cause cookie.Cause) {
--- a/internal/process/carrier/data_test.go
+++ b/internal/process/carrier/data_test.go
@@ -45,8 +45,8 @@
 		c.cfg.Store(&settings.Cookie{})
 		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), now)
 		c.engine.Confirm(now)
-		c.known.confirm(kindEvacuations, now)
-		c.noteReady()
+		c.state.confirm(kindEvacuations, now)
+		c.signalIfReady()
 		c.data = &data{c: c, conn: udp}
 		c.data.wg.Go(func() { c.data.run(context.Background()) })
 		DeferCleanup(func() {
--- a/internal/process/carrier/departure.go
+++ b/internal/process/carrier/departure.go
@@ -16,18 +16,18 @@
 	// refusals counts the readiness checks that were answered with "not ready",
 	// refused is when the one was that takes the daemon out of rotation.
 	refusals int
-	refused  time.Time
-	// packet is when the last packet of a caller came.
-	packet time.Time
+	outOfRotation  time.Time
+	// lastPacket is when the last lastPacket of a caller came.
+	lastPacket time.Time
 }
 
 const (
-	// refusalsUntilOut is how many failed readiness checks take a daemon out of
+	// refusalsToLeaveRotation is how many failed readiness checks take a daemon out of
 	// rotation at the users' routers.
-	refusalsUntilOut = 2
-	// quietFor is how long no packet may come after that. Callers repeat what isn't
+	refusalsToLeaveRotation = 2
+	// quietPeriod is how long no packet may come after that. Callers repeat what isn't
 	// acknowledged after 200 ms, so a router that still sends here shows it by then.
-	quietFor = 400 * time.Millisecond
+	quietPeriod = 400 * time.Millisecond
 	// departurePoll is how often a leaving daemon looks whether it may end.
 	departurePoll = 50 * time.Millisecond
 )
@@ -41,16 +41,16 @@
 	}
 }
 
-// checked notes that a readiness check was answered with "not ready".
-func (d *departure) checked(now time.Time) {
+// readinessRefused notes that a readiness check was answered with "not ready".
+func (d *departure) readinessRefused(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.began.IsZero() {
 		return
 	}
 	d.refusals++
-	if d.refusals == refusalsUntilOut {
-		d.refused = now
+	if d.refusals == refusalsToLeaveRotation {
+		d.outOfRotation = now
 	}
 }
 
@@ -58,27 +58,27 @@
 func (d *departure) received(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at.After(d.packet) {
-		d.packet = at
+	if at.After(d.lastPacket) {
+		d.lastPacket = at
 	}
 }
 
-// over reports whether the daemon may end. A fixed pause would be wrong both ways:
+// mayEnd reports whether the daemon may end. A fixed pause would be wrong both ways:
 // too long, and two hosts of a rolling restart are away at once, so that routers
 // that see fewer than half of a zone's hosts use all of them, also one that has just
 // ended; too short, and packets are lost that the routers still send here.
-func (d *departure) over(now time.Time) bool {
+func (d *departure) mayEnd(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now.Sub(d.began) >= d.limit {
 		return true
 	}
-	if d.refused.IsZero() {
+	if d.outOfRotation.IsZero() {
 		return false
 	}
-	last := d.refused
-	if d.packet.After(last) {
-		last = d.packet
+	last := d.outOfRotation
+	if d.lastPacket.After(last) {
+		last = d.lastPacket
 	}
-	return now.Sub(last) >= quietFor
+	return now.Sub(last) >= quietPeriod
 }
--- a/internal/process/carrier/departure_test.go
+++ b/internal/process/carrier/departure_test.go
@@ -22,47 +22,47 @@
 
 	It("goes on while routers haven't noticed", func() {
 		d := newDeparture()
-		d.checked(at(300))
-		Expect(d.over(at(2000))).To(BeFalse())
+		d.readinessRefused(at(300))
+		Expect(d.mayEnd(at(2000))).To(BeFalse())
 	})
 
 	It("is over when they have and no packet came for a while", func() {
 		d := newDeparture()
-		d.checked(at(300))
-		d.checked(at(800))
-		Expect(d.over(at(1100))).To(BeFalse())
-		Expect(d.over(at(1200))).To(BeTrue())
+		d.readinessRefused(at(300))
+		d.readinessRefused(at(800))
+		Expect(d.mayEnd(at(1100))).To(BeFalse())
+		Expect(d.mayEnd(at(1200))).To(BeTrue())
 	})
 
 	It("goes on while packets come", func() {
 		d := newDeparture()
-		d.checked(at(300))
-		d.checked(at(800))
+		d.readinessRefused(at(300))
+		d.readinessRefused(at(800))
 		d.received(at(1700))
-		Expect(d.over(at(2000))).To(BeFalse())
-		Expect(d.over(at(2100))).To(BeTrue())
+		Expect(d.mayEnd(at(2000))).To(BeFalse())
+		Expect(d.mayEnd(at(2100))).To(BeTrue())
 	})
 
 	It("isn't put off by readiness checks that follow", func() {
 		d := newDeparture()
 		for ms := 300; ms <= 3300; ms += 500 {
-			d.checked(at(ms))
+			d.readinessRefused(at(ms))
 		}
-		Expect(d.over(at(1200))).To(BeTrue())
+		Expect(d.mayEnd(at(1200))).To(BeTrue())
 	})
 
 	It("is over at its limit in any case", func() {
 		d := newDeparture()
 		d.received(at(3990))
-		Expect(d.over(at(3999))).To(BeFalse())
-		Expect(d.over(at(4000))).To(BeTrue())
+		Expect(d.mayEnd(at(3999))).To(BeFalse())
+		Expect(d.mayEnd(at(4000))).To(BeTrue())
 	})
 
 	It("doesn't count checks from before it began", func() {
 		d := &departure{}
-		d.checked(at(-500))
-		d.checked(at(-100))
+		d.readinessRefused(at(-500))
+		d.readinessRefused(at(-100))
 		d.begin(start, 4*time.Second)
-		Expect(d.over(at(900))).To(BeFalse())
+		Expect(d.mayEnd(at(900))).To(BeFalse())
 	})
 })
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/carrier/evacuation.go
@@ -17,7 +17,7 @@
 	for i := range s.Objects {
 		list = append(list, evacuatedZone(&s.Objects[i]))
 	}
-	c.readEvacuations(now, func(*evacuation.Zones) evacuation.Zones { return evacuation.NewZones(list, s.AsOf) })
+	c.applyStoredEvacuations(now, func(*evacuation.Zones) evacuation.Zones { return evacuation.NewZones(list, s.AsOf) })
 }
 
 func (c *Carrier) changeEvacuations(ch objects.Changes[bundle.Zone], now time.Time) {
@@ -25,7 +25,7 @@
 	for i := range ch.List {
 		changes = append(changes, evacuation.Change{Zone: evacuatedZone(&ch.List[i].Object), Taken: ch.List[i].Deleted})
 	}
-	c.readEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.After(changes, ch.AsOf) })
+	c.applyStoredEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.After(changes, ch.AsOf) })
 }
 
 // evacuatedZone returns the zone that an object names. That it is there is the request, whatever it
@@ -33,37 +33,37 @@
 // is about to switch off.
 func evacuatedZone(o *objects.Object[bundle.Zone]) bundle.Zone { return bundle.Zone(o.Name) }
 
-// readEvacuations takes in what this daemon itself has read. next makes it from what it knew.
-func (c *Carrier) readEvacuations(now time.Time, next func(*evacuation.Zones) evacuation.Zones) {
+// applyStoredEvacuations takes in what this daemon itself has read. next makes it from what it knew.
+func (c *Carrier) applyStoredEvacuations(now time.Time, next func(*evacuation.Zones) evacuation.Zones) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	z := next(&c.known.evacuated.Stored)
-	c.takeEvacuations(z, bundleSource{source: "Store"}, now)
-	if z.AsOf >= c.known.evacuated.Stored.AsOf {
+	z := next(&c.state.evacuated.Stored)
+	c.applyEvacuations(z, bundleSource{source: "Store"}, now)
+	if z.AsOf >= c.state.evacuated.Stored.AsOf {
 		c.confirmEvacuations(now)
 	}
-	c.readHere()
+	c.noteOwnRead()
 }
 
-// takeEvacuations takes in evacuated zones unless a later position's are known. c.mu is held.
-func (c *Carrier) takeEvacuations(z evacuation.Zones, from bundleSource, now time.Time) {
-	before := c.known.evacuated.Zones()
-	if c.known.evacuated.Take(z, now) {
-		c.putEvacuations(before, from, now)
+// applyEvacuations takes in evacuated zones unless a later position's are known. c.mu is held.
+func (c *Carrier) applyEvacuations(z evacuation.Zones, from bundleSource, now time.Time) {
+	before := c.state.evacuated.Zones()
+	if c.state.evacuated.Take(z, now) {
+		c.enforceEvacuations(before, from, now)
 	}
 }
 
 // expireEvacuations lets zones be used again that the store lacks since it was restored from a snapshot. c.mu is held.
 func (c *Carrier) expireEvacuations(now time.Time) {
-	before := c.known.evacuated.Zones()
-	if c.known.evacuated.Expire(now) {
-		c.putEvacuations(before, bundleSource{source: "StoreRestored"}, now)
+	before := c.state.evacuated.Zones()
+	if c.state.evacuated.Expire(now) {
+		c.enforceEvacuations(before, bundleSource{source: "StoreRestored"}, now)
 	}
 }
 
-// putEvacuations puts evacuated zones in force in place of those before. c.mu is held.
-func (c *Carrier) putEvacuations(before []bundle.Zone, from bundleSource, now time.Time) {
-	zones := c.known.evacuated.Zones()
+// enforceEvacuations puts evacuated zones in force in place of those before. c.mu is held.
+func (c *Carrier) enforceEvacuations(before []bundle.Zone, from bundleSource, now time.Time) {
+	zones := c.state.evacuated.Zones()
 	if slices.Equal(zones, before) {
 		return
 	}
@@ -81,38 +81,38 @@
 }
 
 func (c *Carrier) logEvacuation(what string, zone bundle.Zone, from bundleSource) {
-	klog.InfoS(what, "Zone", zone, "AsOf", c.known.evacuated.Stored.AsOf, "Source", from.source, "Name", from.name,
+	klog.InfoS(what, "Zone", zone, "AsOf", c.state.evacuated.Stored.AsOf, "Source", from.source, "Name", from.name,
 		"Age", from.age, "Flows", c.engine.FlowsIn(zone))
 }
 
 // confirmEvacuations notes as of when the evacuated zones are known. c.mu is held.
 func (c *Carrier) confirmEvacuations(at time.Time) {
-	c.known.confirm(kindEvacuations, at)
-	c.noteReady()
+	c.state.confirm(kindEvacuations, at)
+	c.signalIfReady()
 }
 
-// knownEvacuations returns the position from which evacuations are to be watched, zero if they must be
+// evacuationsPosition returns the position from which evacuations are to be watched, zero if they must be
 // listed.
-func (c *Carrier) knownEvacuations() objects.Position {
+func (c *Carrier) evacuationsPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ready() {
+	if !c.canPlaceFlowsLocked() {
 		return 0
 	}
-	return c.known.evacuated.Stored.AsOf
+	return c.state.evacuated.Stored.AsOf
 }
 
 // Evacuated returns the zones that get no new flow here, in order.
 func (c *Carrier) Evacuated() []bundle.Zone {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known.evacuated.Zones()
+	return c.state.evacuated.Zones()
 }
 
 // evacuationStatus tells since when zones are evacuated here and how many flows are still open
 // there. c.mu is held.
 func (c *Carrier) evacuationStatus() []status.EvacuationStatus {
-	zones := c.known.evacuated.Zones()
+	zones := c.state.evacuated.Zones()
 	out := make([]status.EvacuationStatus, 0, len(zones))
 	for _, zone := range zones {
 		out = append(out, status.EvacuationStatus{Zone: zone, Since: c.engine.EvacuatedSince(zone), Flows: c.engine.FlowsIn(zone)})
--- a/internal/process/carrier/evacuation_test.go
+++ b/internal/process/carrier/evacuation_test.go
@@ -35,11 +35,11 @@
 		w := newWorld(6)
 		nodes := startAll(w)
 		w.Evacuate("zone-2")
-		Eventually(evacuatedAt(nodes, "zone-2"), patience).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-2"), waitTimeout).Should(BeTrue())
 		w.Evacuate("zone-1")
 		w.TakeBack("zone-2")
-		Eventually(evacuatedAt(nodes, "zone-1"), patience).Should(BeTrue())
-		Eventually(w.Router.InRotation, patience).Should(Equal(6))
+		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
+		Eventually(w.Router.InRotation, waitTimeout).Should(Equal(6))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		tallies, err := w.Work(ctx)
@@ -55,7 +55,7 @@
 			Expect(metricsOf(n)).To(ContainSubstring(`fescueshed_zone_evacuated{zone="zone-1"} 1`))
 		}
 		w.TakeBack("zone-1")
-		Eventually(evacuatedAt(nodes), patience).Should(BeTrue())
+		Eventually(evacuatedAt(nodes), waitTimeout).Should(BeTrue())
 	})
 
 	// All of a small host's upstreams are in the zone, and the store doesn't tell it anything.
@@ -67,30 +67,30 @@
 		Expect(err).NotTo(HaveOccurred())
 		h.Proxy.Set(world.LinkSilent)
 		n := startNode(w, h)
-		Eventually(n.Ready, patience).Should(BeTrue())
-		Eventually(n.Evacuated, patience).Should(Equal([]bundle.Zone{"zone-3"}))
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Evacuated, waitTimeout).Should(Equal([]bundle.Zone{"zone-3"}))
 	})
 
 	It("know it before they serve, by the store alone", func() {
 		w := newWorld(1)
 		w.Evacuate("zone-3")
-		w.Hosts[0].Seeds = nobody
+		w.Hosts[0].Seeds = unusedSeeds
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, patience).Should(BeTrue())
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		Expect(n.Evacuated()).To(Equal([]bundle.Zone{"zone-3"}))
 	})
 
 	It("learn it though the reader is cut off from the store", func() {
 		w := newWorld(6)
 		nodes := startAll(w)
-		Eventually(func() int { return readers(nodes) }, patience).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 		for _, n := range nodes {
-			if n.Reads() {
+			if n.ReadsStore() {
 				n.host.Proxy.Set(world.LinkSilent)
 			}
 		}
 		w.Evacuate("zone-1")
-		Eventually(evacuatedAt(nodes, "zone-1"), patience).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
 	})
 
 	It("learn it though a whole zone is cut off from the others", func() {
@@ -98,7 +98,7 @@
 		nodes := startAll(w)
 		w.CutZone("zone-3", time.Minute)
 		w.Evacuate("zone-1")
-		Eventually(evacuatedAt(nodes, "zone-1"), patience).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
 	})
 
 	It("learn it though the store's watches heard nothing of it and its history is gone", func() {
@@ -108,19 +108,19 @@
 		w.Evacuate("zone-1")
 		w.Store.Forget()
 		w.Store.SetTrouble(metadata.Trouble{})
-		Eventually(evacuatedAt(nodes, "zone-1"), patience).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
 	})
 
 	It("keep it while the store is away, and tell it to those that start", func() {
 		w := newWorld(4)
 		nodes := startAll(w)
 		w.Evacuate("zone-1")
-		Eventually(evacuatedAt(nodes, "zone-1"), patience).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
 		w.Store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		late := startNode(w, h)
-		Eventually(late.Ready, patience).Should(BeTrue())
+		Eventually(late.Ready, waitTimeout).Should(BeTrue())
 		Consistently(evacuatedAt(append(nodes, late), "zone-1"), time.Second).Should(BeTrue())
 	})
 
@@ -129,24 +129,24 @@
 	It("go by an entry's name, whatever it holds", func() {
 		w := newWorld(1)
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, patience).Should(BeTrue())
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		w.Store.Put(wire.KindEvacuations, "zone-2", []int{17})
 		w.Store.Put(wire.KindEvacuations, "no zone of ours", nil)
-		Eventually(n.Evacuated, patience).Should(Equal([]bundle.Zone{"no zone of ours", "zone-2"}))
+		Eventually(n.Evacuated, waitTimeout).Should(Equal([]bundle.Zone{"no zone of ours", "zone-2"}))
 	})
 
 	// More zones than fit beside the changes in one datagram.
 	It("learn of more zones than news hold", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		time.Sleep(carrier.JoinedAfter) // Then one reads for all, and the others only hear of it.
-		Eventually(func() int { return readers(nodes) }, patience).Should(Equal(1))
+		time.Sleep(carrier.JoinDuration) // Then one reads for all, and the others only hear of it.
+		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 		const many = 20
 		zones := make([]bundle.Zone, 0, many)
 		for i := range many {
 			zones = append(zones, bundle.Zone(fmt.Sprintf("far-%02d", i)))
 			w.Store.Put(wire.KindEvacuations, string(zones[i]), struct{}{})
 		}
-		Eventually(evacuatedAt(nodes, zones...), patience).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, zones...), waitTimeout).Should(BeTrue())
 	})
 })
--- a/internal/process/carrier/follower.go
+++ b/internal/process/carrier/follower.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// idlePoll is how often a daemon that doesn't read looks whether it should.
-	idlePoll = 100 * time.Millisecond
+	// readCheckPeriod is how often a daemon that doesn't read looks whether it should.
+	readCheckPeriod = 100 * time.Millisecond
 	// batchPause lets further changes gather before the next watch: one call then
 	// brings many of them, and a storm of changes costs few calls.
 	batchPause = 150 * time.Millisecond
 )
 
-// intake is what a daemon does with a kind of objects that it reads.
-type intake[T any] struct {
+// objectHandler is what a daemon does with a kind of objects that it reads.
+type objectHandler[T any] struct {
 	// list takes a whole list, changes what came after it. Both are told when the
 	// store answered.
 	list    func(objects.Snapshot[T], time.Time)
 	changes func(objects.Changes[T], time.Time)
-	// known returns the revision from which the kind is known by what others told, zero if it
+	// position returns the revision from which the kind is position by what others told, zero if it
 	// must be listed. It may be nil.
-	known func() objects.Position
+	position func() objects.Position
 	// long says that the kind may take many pages to list.
 	long bool
 }
 
 // follower keeps up with one kind of the store's objects.
 type follower[T any] struct {
-	intake[T]
+	objectHandler[T]
 	c    *Carrier
 	kind kind
 	feed objects.Feed[T]
-	// failed is since when calls fail; zero if they don't.
-	failed time.Time
+	// failingSince is since when calls fail; zero if they don't.
+	failingSince time.Time
 	// listing is the list in progress, nil if there is none. fresh says that the next
 	// must not be a stale one.
 	listing *objects.Listing[T]
@@ -51,49 +51,49 @@
 	stalls objects.Stalls
 	// starting says that the list was begun before the daemon could place flows.
 	starting bool
-	// listedFrom is the position as of which the kind was known when the list in progress was begun.
-	listedFrom objects.Position
-	// lines bounds the lines about objects that can't be used, outdated those about outdated answers.
-	lines, outdated *logs.Limiter
+	// positionBefore is the position as of which the kind was known when the list in progress was begun.
+	positionBefore objects.Position
+	// unusableLimiter bounds the unusableLimiter about objects that can't be used, outdatedLimiter those about outdatedLimiter answers.
+	unusableLimiter, outdatedLimiter *logs.Limiter
 }
 
-func newFollower[T any](c *Carrier, k kind, feed objects.Feed[T], in intake[T]) *follower[T] {
-	return &follower[T]{intake: in, c: c, kind: k, feed: feed, lines: logs.NewLimiter(unusableLines), outdated: newOutdatedLimiter()}
+func newFollower[T any](c *Carrier, k kind, feed objects.Feed[T], in objectHandler[T]) *follower[T] {
+	return &follower[T]{objectHandler: in, c: c, kind: k, feed: feed, unusableLimiter: logs.NewLimiter(unusableLines), outdatedLimiter: newOutdatedLimiter()}
 }
 
 func (f *follower[T]) run(ctx context.Context) {
 	// Zero means that the kind is to be listed.
 	var asOf objects.Position
-	// failures and gone count failed calls, and histories that are gone, in a row.
-	failures, gone := 0, 0
+	// failures and lostHistories count failed calls, and histories that are lostHistories, in a row.
+	failures, lostHistories := 0, 0
 	for ctx.Err() == nil {
-		if !f.c.reads(time.Now()) {
-			asOf, f.listing, failures, gone = 0, nil, 0, 0
-			f.c.awaitTurn(ctx)
+		if !f.c.shouldReadStore(time.Now()) {
+			asOf, f.listing, failures, lostHistories = 0, nil, 0, 0
+			f.c.awaitReadCheck(ctx)
 			continue
 		}
-		if asOf == 0 && f.known != nil && !f.fresh {
-			asOf = f.known()
+		if asOf == 0 && f.position != nil && !f.fresh {
+			asOf = f.position()
 		}
 		began := time.Now()
 		next, changed, err := f.step(ctx, asOf)
 		switch {
 		case err == nil:
-			asOf, failures, gone = next, 0, 0
+			asOf, failures, lostHistories = next, 0, 0
 			f.stalls.Watched()
 			if changed {
-				f.c.members.tellNews(time.Now())
+				f.c.members.advertise(time.Now())
 				sleep(ctx, batchPause)
 			}
 		case eris.Is(err, objects.ErrHistoryGone):
 			klog.InfoS("Store dropped its history", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
 			asOf, f.listing, f.fresh = 0, nil, true
-			if gone > 0 {
+			if lostHistories > 0 {
 				// Those who answer are of different epochs.
-				f.pause(ctx, gone)
+				f.pause(ctx, lostHistories)
 			}
-			gone++
-		case asOf != 0 && f.listsInstead(err, began):
+			lostHistories++
+		case asOf != 0 && f.shouldRelist(err, began):
 			klog.InfoS("Store can't be watched, it is listed", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
 			asOf, f.listing, f.fresh = 0, nil, true
 		default:
@@ -101,7 +101,7 @@
 				// Once the store answers as of a later position, changes may be missing in between.
 				asOf, f.fresh = 0, true
 			}
-			f.fails(err)
+			f.noteFailure(err)
 			f.pause(ctx, failures)
 			failures++
 		}
@@ -113,9 +113,9 @@
 	sleep(ctx, peer.RetryPause(f.c.members.view.Load().ReaderRank(), failures, rand.Float64()))
 }
 
-// listsInstead reports whether a watch that failed is to be given up for a list: it would bring too
+// shouldRelist reports whether a watch that failed is to be given up for a list: it would bring too
 // much, or the store, which answers other calls, doesn't answer it.
-func (f *follower[T]) listsInstead(err error, began time.Time) bool {
+func (f *follower[T]) shouldRelist(err error, began time.Time) bool {
 	if eris.Is(err, objects.ErrTooLarge) {
 		return true
 	}
@@ -124,7 +124,7 @@
 	}
 	f.c.mu.Lock()
 	defer f.c.mu.Unlock()
-	return f.stalls.Stalled(began, f.c.known.answered)
+	return f.stalls.Stalled(began, f.c.state.answered)
 }
 
 // step lists or watches once and takes in what that brings. A daemon that starts waits a little
@@ -137,7 +137,7 @@
 		}
 		return next, err == nil, err
 	}
-	before := f.c.knownAsOf(f.kind)
+	before := f.c.positionOf(f.kind)
 	ch, err := f.feed.Watch(ctx, asOf, time.Duration(f.c.cfg.Load().WatchWait))
 	if err == nil {
 		err = f.checkAnswer(ch.AsOf, before, time.Now())
@@ -145,7 +145,7 @@
 	if err != nil {
 		return asOf, false, err
 	}
-	f.answered()
+	f.noteAnswer()
 	f.reportChanges(&ch)
 	f.changes(ch, time.Now())
 	return ch.AsOf, len(ch.List) > 0, nil
@@ -158,21 +158,21 @@
 // though it lacks seconds.
 func (f *follower[T]) listAll(ctx context.Context) (objects.Position, error) {
 	if f.listing == nil {
-		f.starting = !f.c.start.ready.happened()
-		f.listedFrom = f.c.knownAsOf(f.kind)
+		f.starting = !f.c.start.ready.isSet()
+		f.positionBefore = f.c.positionOf(f.kind)
 		f.listing = objects.NewListing[T](f.long && !f.fresh && f.starting)
 	}
 	for !f.listing.Done() {
 		p, err := f.page(ctx)
-		if f.toldMeanwhile(ctx) {
+		if f.receivedMeanwhile(ctx) {
 			f.listing = nil
-			return f.known(), nil
+			return f.position(), nil
 		}
 		if err != nil {
 			f.listing.Failed()
 			return 0, err
 		}
-		f.report(p.Findings, p.Objects)
+		f.reportUnusable(p.Findings, p.Objects)
 		if err := f.listing.Add(p); err != nil {
 			return 0, err
 		}
@@ -193,11 +193,11 @@
 	}
 	f.listing = nil
 	now := time.Now()
-	if err := f.checkAnswer(late.AsOf, f.listedFrom, now); err != nil {
+	if err := f.checkAnswer(late.AsOf, f.positionBefore, now); err != nil {
 		return 0, err
 	}
 	f.fresh = false
-	f.answered()
+	f.noteAnswer()
 	f.list(s, now)
 	f.changes(late, now)
 	return late.AsOf, nil
@@ -206,21 +206,21 @@
 // page reads the next page. A daemon that starts may give it up for another's word.
 func (f *follower[T]) page(ctx context.Context) (objects.Page[T], error) {
 	o := f.listing.Next()
-	if f.starting && f.known != nil {
-		o.Hold = func(size int64) bool { return f.c.wantsList(ctx, size) }
+	if f.starting && f.position != nil {
+		o.Hold = func(size int64) bool { return f.c.listStillNeeded(ctx, size) }
 	}
 	return f.feed.List(ctx, o)
 }
 
-// toldMeanwhile reports whether a member has told all while a daemon that starts was reading.
-func (f *follower[T]) toldMeanwhile(ctx context.Context) bool {
-	return f.starting && f.known != nil && ctx.Err() == nil && f.c.start.ready.happened()
+// receivedMeanwhile reports whether a member has told all while a daemon that starts was reading.
+func (f *follower[T]) receivedMeanwhile(ctx context.Context) bool {
+	return f.starting && f.position != nil && ctx.Err() == nil && f.c.start.ready.isSet()
 }
 
-// report counts the objects that can't be used and writes lines for them, within
+// reportUnusable counts the objects that can't be used and writes lines for them, within
 // unusableLines: a writer that replaces thousands of entries would else fill the logs of
 // every daemon that reads.
-func (f *follower[T]) report(findings []error, list []objects.Object[T]) {
+func (f *follower[T]) reportUnusable(findings []error, list []objects.Object[T]) {
 	for _, err := range findings {
 		f.unusable(err)
 	}
@@ -232,7 +232,7 @@
 }
 
 func (f *follower[T]) reportChanges(ch *objects.Changes[T]) {
-	f.report(ch.Findings, nil)
+	f.reportUnusable(ch.Findings, nil)
 	for i := range ch.List {
 		if o := &ch.List[i].Object; o.Err != nil && !ch.List[i].Deleted {
 			f.unusable(o.Err)
@@ -245,38 +245,38 @@
 
 func (f *follower[T]) unusable(err error) {
 	f.c.unusable.Add(1)
-	if left, ok := f.lines.Allow(time.Now()); ok {
+	if left, ok := f.unusableLimiter.Allow(time.Now()); ok {
 		klog.ErrorS(err, "Stored object can't be used", "Kind", f.kind, "LeftOut", left)
 	}
 }
 
-// fails notes that a call failed and asks a member of another zone: all of this one
+// noteFailure notes that a call failed and asks a member of another zone: all of this one
 // may have lost the store while others reach it.
-func (f *follower[T]) fails(err error) {
-	if to := f.c.members.elsewhere(); to.IsValid() {
+func (f *follower[T]) noteFailure(err error) {
+	if to := f.c.members.memberInOtherZone(); to.IsValid() {
 		f.c.members.pull(to, false)
 	}
 	now := time.Now()
-	f.c.storeFails(now)
-	if f.failed.IsZero() {
-		f.failed = now
+	f.c.noteStoreFailure(now)
+	if f.failingSince.IsZero() {
+		f.failingSince = now
 		klog.ErrorS(err, "Store lost", "Kind", f.kind)
 	}
 }
 
-// answered notes that the store answers. If it didn't for a while, to this daemon or
+// noteAnswer notes that the store answers. If it didn't for a while, to this daemon or
 // to those it heard of, its list may lack upstreams whose entries lapsed meanwhile.
-func (f *follower[T]) answered() {
+func (f *follower[T]) noteAnswer() {
 	now := time.Now()
 	f.c.mu.Lock()
-	f.c.known.failing, f.c.known.answered = time.Time{}, now
-	if last := f.c.known.confirmed[kindUpstreams]; !last.IsZero() && now.Sub(last) > outageAfter {
-		f.c.known.catalog.StoreReturned(now)
+	f.c.state.failing, f.c.state.answered = time.Time{}, now
+	if last := f.c.state.confirmed[kindUpstreams]; !last.IsZero() && now.Sub(last) > outageAfter {
+		f.c.state.catalog.StoreReturned(now)
 	}
 	f.c.mu.Unlock()
-	if !f.failed.IsZero() {
-		klog.InfoS("Store regained", "Kind", f.kind, "After", now.Sub(f.failed))
-		f.failed = time.Time{}
+	if !f.failingSince.IsZero() {
+		klog.InfoS("Store regained", "Kind", f.kind, "After", now.Sub(f.failingSince))
+		f.failingSince = time.Time{}
 	}
 }
 
--- a/internal/process/carrier/follower_test.go
+++ b/internal/process/carrier/follower_test.go
@@ -35,9 +35,9 @@
 	g := NewWithT(t)
 	var listed objects.Position
 	f := &follower[int]{
-		c:    &Carrier{start: newStartup(time.Now(), false), known: knowledge{catalog: registry.NewCatalog()}},
+		c:    &Carrier{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
 		feed: &busyFeed{},
-		intake: intake[int]{
+		objectHandler: objectHandler[int]{
 			long:    true,
 			list:    func(s objects.Snapshot[int], _ time.Time) { listed = s.AsOf },
 			changes: func(objects.Changes[int], time.Time) {},
@@ -67,18 +67,18 @@
 			g := NewWithT(t)
 			feed := &holdingFeed{}
 			f := &follower[int]{
-				c:    &Carrier{start: newStartup(time.Now(), false), known: knowledge{catalog: registry.NewCatalog()}},
+				c:    &Carrier{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
 				feed: feed,
-				intake: intake[int]{
+				objectHandler: objectHandler[int]{
 					list:    func(objects.Snapshot[int], time.Time) {},
 					changes: func(objects.Changes[int], time.Time) {},
 				},
 			}
 			if tc.told {
-				f.known = func() objects.Position { return 0 }
+				f.position = func() objects.Position { return 0 }
 			}
 			if tc.ready {
-				f.c.start.ready.happen()
+				f.c.start.ready.set()
 			}
 			_, err := f.listAll(t.Context())
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/process/carrier/follows_test.go
+++ b/internal/process/carrier/follows_test.go
@@ -22,14 +22,14 @@
 			start:  newStartup(now, true),
 		}
 		const rank = 9
-		Expect(c.follows(rank, now.Add(500*time.Millisecond))).To(BeFalse())
+		Expect(c.followsStore(rank, now.Add(500*time.Millisecond))).To(BeFalse())
 		told := now.Add(time.Second)
 		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), told)
 		c.engine.Confirm(told)
-		Expect(c.follows(rank, told.Add(3*time.Second))).To(BeFalse(), "the evacuated zones aren't known")
-		c.known.confirm(kindEvacuations, told)
-		c.reading.Heard(told, false)
-		Expect(c.follows(rank, told)).To(BeFalse())
-		Expect(c.follows(rank, told.Add(3*time.Second))).To(BeTrue(), "nobody tells it more")
+		Expect(c.followsStore(rank, told.Add(3*time.Second))).To(BeFalse(), "the evacuated zones aren't known")
+		c.state.confirm(kindEvacuations, told)
+		c.election.Heard(told, false)
+		Expect(c.followsStore(rank, told)).To(BeFalse())
+		Expect(c.followsStore(rank, told.Add(3*time.Second))).To(BeTrue(), "nobody tells it more")
 	})
 })
--- a/internal/process/carrier/http.go
+++ b/internal/process/carrier/http.go
@@ -74,8 +74,8 @@
 	})
 	count("fescueshed_store_objects_unusable_total", c.unusable.Load)
 	count("fescueshed_probes_total", c.probes.sent.Load)
-	count("fescueshed_control_received_bytes_total", c.members.inBytes.Load)
-	count("fescueshed_control_sent_bytes_total", c.members.outBytes.Load)
+	count("fescueshed_control_received_bytes_total", c.members.receivedBytes.Load)
+	count("fescueshed_control_sent_bytes_total", c.members.sentBytes.Load)
 	count("fescueshed_control_dropped_total", c.members.dropped.Load)
 	count("fescueshed_catalogs_fetched_total", c.members.pulls.Begun.Load)
 	countTransfers(count, "fescueshed_catalogs", &c.members.pulls)
@@ -88,20 +88,20 @@
 		s.NewGauge(fmt.Sprintf("fescueshed_store_kind_age_seconds{kind=%q}", k), func() float64 {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return time.Since(c.known.confirmed[k]).Seconds()
+			return time.Since(c.state.confirmed[k]).Seconds()
 		})
 	}
 	s.NewGauge("fescueshed_store_epoch", func() float64 { return float64(c.storeEpoch()) })
 	for k := range numKinds {
-		count(fmt.Sprintf("fescueshed_store_answers_outdated_total{kind=%q}", k), c.outdated[k].Load)
+		count(fmt.Sprintf("fescueshed_store_answers_outdated_total{kind=%q}", k), c.outdatedAnswers[k].Load)
 		s.NewGauge(fmt.Sprintf("fescueshed_store_revision{kind=%q}", k), func() float64 {
-			return float64(c.knownAsOf(k).Revision())
+			return float64(c.positionOf(k).Revision())
 		})
 	}
 	s.NewGauge("fescueshed_store_age_seconds", func() float64 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return time.Since(c.known.confirmedAll()).Seconds()
+		return time.Since(c.state.confirmedAll()).Seconds()
 	})
 	return s
 }
@@ -137,8 +137,8 @@
 // library's own set would.
 func (c *Carrier) writeHistograms(w io.Writer) {
 	for name, h := range map[string]histogram{
-		"fescueshed_answer_seconds":     &c.answered,
-		"fescueshed_probe_seconds":      &c.probed,
+		"fescueshed_answer_seconds":     &c.answerSeconds,
+		"fescueshed_probe_seconds":      &c.probeSeconds,
 		"fescueshed_store_call_seconds": &c.platform.Store.Counts.Took,
 	} {
 		total := uint64(0)
--- a/internal/process/carrier/keys_test.go
+++ b/internal/process/carrier/keys_test.go
@@ -17,8 +17,8 @@
 	return n.metric(GinkgoT(), "fescueshed_control_dropped_total")
 }
 
-// sendNews sends a balancer news of one that doesn't exist.
-func sendNews(n *node, k peer.Keys) {
+// sendForgedAdvertisement sends a balancer news of one that doesn't exist.
+func sendForgedAdvertisement(n *node, k peer.Keys) {
 	GinkgoHelper()
 	forger, err := peer.NewNumbered[peer.News](k, peer.DomainNews)
 	Expect(err).NotTo(HaveOccurred())
@@ -27,12 +27,12 @@
 	conn, err := net.Dial("udp4", n.cfg.ControlAddress.String())
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	_, err = conn.Write(append([]byte{newsProtocol}, b...))
+	_, err = conn.Write(append([]byte{advertisementProtocol}, b...))
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// newsProtocol is the first byte of a datagram with news.
-const newsProtocol = 2
+// advertisementProtocol is the first byte of a datagram with news.
+const advertisementProtocol = 2
 
 var _ = Describe("The secret of balancers", func() {
 	next := settings.Secret("the next secret of the world")
@@ -57,14 +57,14 @@
 				time.Sleep(300 * time.Millisecond) // Messages go between those that are a step apart.
 			}
 			v := w.Roll()
-			Eventually(inForce(nodes, v), patience).Should(BeTrue())
+			Eventually(inForce(nodes, v), waitTimeout).Should(BeTrue())
 		}
 		for _, n := range nodes {
 			Expect(n.Members()).To(Equal(3))
 			Expect(n.dropped()).To(BeZero())
 		}
-		sendNews(nodes[0], peer.Keys{Seal: first})
-		Eventually(nodes[0].dropped, patience).Should(Equal(1), "the old secret is worth nothing any more")
+		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: first})
+		Eventually(nodes[0].dropped, waitTimeout).Should(Equal(1), "the old secret is worth nothing any more")
 	})
 
 	// Somebody on the control network sends news of a balancer that doesn't exist, sealed
@@ -72,8 +72,8 @@
 	It("keeps strangers' messages out", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		sendNews(nodes[0], peer.Keys{Seal: []byte("a secret of their own")})
-		Eventually(nodes[0].dropped, patience).Should(Equal(1))
+		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: []byte("a secret of their own")})
+		Eventually(nodes[0].dropped, waitTimeout).Should(Equal(1))
 		Expect(nodes[0].Members()).To(Equal(3))
 	})
 })
--- a/internal/process/carrier/knowledge.go
+++ b/internal/process/carrier/knowledge.go
@@ -24,9 +24,9 @@
 // String names the kind, for logs.
 func (k kind) String() string { return kindNames[k] }
 
-// knowledge is what this daemon knows of the store's content, and as of when: from its own calls or
+// storeState is what this daemon knows of the store's content, and as of when: from its own calls or
 // from other daemons. It isn't safe for concurrent use; Carrier.mu guards it.
-type knowledge struct {
+type storeState struct {
 	// history holds the bundle in force and what led to it, bundleAsOf is the position up to which
 	// the store is known to have no newer one.
 	history    bundle.History
@@ -36,9 +36,9 @@
 	// epoch is the latest epoch of the store that was heard of, epochSince since when it is known.
 	epoch      objects.Epoch
 	epochSince time.Time
-	// lacksWholeBundle and lacksWholeList are set if what another daemon told didn't lead to its
+	// needsWholeBundle and needsWholeList are set if what another daemon told didn't lead to its
 	// bundle or to its list.
-	lacksWholeBundle, lacksWholeList bool
+	needsWholeBundle, needsWholeList bool
 	// confirmed is as of when each kind is known, zero if it isn't.
 	confirmed [numKinds]time.Time
 	// failing is when a call of the store failed last, zero if one was answered since. answered is
@@ -46,15 +46,15 @@
 	failing, answered time.Time
 }
 
-// seeEpoch notes the epoch that an answer or a message tells, and reports whether the store was restored since
+// observeEpoch notes the epoch that an answer or a message tells, and reports whether the store was restored since
 // something was known of it.
-func (k *knowledge) seeEpoch(e objects.Epoch, now time.Time) bool {
+func (k *storeState) observeEpoch(e objects.Epoch, now time.Time) bool {
 	if e <= k.epoch {
 		return false
 	}
 	k.epoch = e
 	for of := range numKinds {
-		if k.asOf(of) != 0 {
+		if k.position(of) != 0 {
 			k.epochSince = now
 			return true
 		}
@@ -62,8 +62,8 @@
 	return false
 }
 
-// asOf returns the position as of which a kind is known.
-func (k *knowledge) asOf(of kind) objects.Position {
+// position returns the position as of which a kind is known.
+func (k *storeState) position(of kind) objects.Position {
 	switch of {
 	case kindBundles:
 		return k.bundleAsOf
@@ -74,14 +74,14 @@
 }
 
 // confirm notes that a kind was known as a whole at a time.
-func (k *knowledge) confirm(of kind, at time.Time) {
+func (k *storeState) confirm(of kind, at time.Time) {
 	if at.After(k.confirmed[of]) {
 		k.confirmed[of] = at
 	}
 }
 
 // confirmedAll returns as of when all kinds are known, zero if one isn't.
-func (k *knowledge) confirmedAll() time.Time {
+func (k *storeState) confirmedAll() time.Time {
 	oldest := k.confirmed[0]
 	for _, at := range k.confirmed {
 		if at.Before(oldest) {
--- a/internal/process/carrier/knowledge_test.go
+++ b/internal/process/carrier/knowledge_test.go
@@ -12,13 +12,13 @@
 // Guards against a daemon that says at its start that the store was restored, since it hears of its epoch then.
 func TestEpochOfAStartIsNoRestore(t *testing.T) {
 	g := NewWithT(t)
-	k := knowledge{catalog: registry.NewCatalog()}
+	k := storeState{catalog: registry.NewCatalog()}
 	now := time.Unix(0, 0)
-	g.Expect(k.seeEpoch(3, now)).To(BeFalse())
+	g.Expect(k.observeEpoch(3, now)).To(BeFalse())
 	g.Expect(k.epoch).To(BeEquivalentTo(3))
 	g.Expect(k.epochSince.IsZero()).To(BeTrue())
 	k.catalog.Replace(nil, 1<<41, now)
-	g.Expect(k.seeEpoch(3, now)).To(BeFalse())
-	g.Expect(k.seeEpoch(4, now)).To(BeTrue())
+	g.Expect(k.observeEpoch(3, now)).To(BeFalse())
+	g.Expect(k.observeEpoch(4, now)).To(BeTrue())
 	g.Expect(k.epochSince).To(Equal(now))
 }
--- a/internal/process/carrier/large_test.go
+++ b/internal/process/carrier/large_test.go
@@ -19,9 +19,9 @@
 const (
 	// manyRoutes make a bundle of some 600 KB in the store's form, as large as users have it.
 	manyRoutes = 4000
-	// thinLink carries that in three seconds. The users' smallest hosts have a link that carries six
+	// slowLink carries that in three seconds. The users' smallest hosts have a link that carries six
 	// times as much, and callers' packets and other transfers on it.
-	thinLink world.BytesPerSecond = 200_000
+	slowLink world.BytesPerSecond = 200_000
 )
 
 func largeWorld(t *testing.T, hosts int) *world.World {
@@ -29,8 +29,8 @@
 	return openWorld(t, world.Options{Seed: 1, Hosts: hosts, Upstreams: 3})
 }
 
-// unlikeWorld is a largeWorld whose bundle is as large between daemons as it is in the store.
-func unlikeWorld(t *testing.T, hosts int) *world.World {
+// incompressibleWorld is a largeWorld whose bundle is as large between daemons as it is in the store.
+func incompressibleWorld(t *testing.T, hosts int) *world.World {
 	t.Helper()
 	return openWorld(t, world.Options{Seed: 1, Hosts: hosts, Upstreams: 3, UnlikeRoutes: true})
 }
@@ -43,11 +43,11 @@
 	w.Hosts[1].CPUShare = 0.1
 	large, small = openNode(t, w, w.Hosts[0]), openNode(t, w, w.Hosts[1])
 	for _, n := range []*node{large, small} {
-		g.Eventually(n.Ready, patience).Should(BeTrue())
-		g.Eventually(n.Members, patience).Should(Equal(2))
+		g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		g.Eventually(n.Members, waitTimeout).Should(Equal(2))
 	}
-	time.Sleep(carrier.JoinedAfter)
-	g.Eventually(small.Reads, patience).Should(BeFalse())
+	time.Sleep(carrier.JoinDuration)
+	g.Eventually(small.ReadsStore, waitTimeout).Should(BeFalse())
 	return large, small
 }
 
@@ -81,13 +81,13 @@
 // it: they took in ten times the bundle, and nearly all of it was thrown away.
 func TestLargeBundleComesIntoForceBehindAThinLink(t *testing.T) {
 	g := NewWithT(t)
-	w := unlikeWorld(t, 2)
+	w := incompressibleWorld(t, 2)
 	large, small := largePair(t, w)
-	w.ThinLink(w.Hosts[1], thinLink)
+	w.ThinLink(w.Hosts[1], slowLink)
 	w.Grow(manyRoutes)
 	v := w.Roll()
-	g.Eventually(large.Version, patience).Should(Equal(v))
-	g.Eventually(small.Version, patience).Should(Equal(v))
+	g.Eventually(large.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
 }
 
 // All power was lost, and a small host that comes back finds nobody. It lists the large bundle,
@@ -97,25 +97,25 @@
 	w := largeWorld(t, 1)
 	w.Grow(manyRoutes)
 	w.Roll()
-	w.Hosts[0].Seeds = nobody
-	w.ThinLink(w.Hosts[0], thinLink)
+	w.Hosts[0].Seeds = unusedSeeds
+	w.ThinLink(w.Hosts[0], slowLink)
 	n := openNode(t, w, w.Hosts[0])
-	g.Eventually(n.Ready, patience).Should(BeTrue())
+	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
 }
 
 // A host is restarted while the others serve. What they tell takes its link longer than a member's
 // answer is waited for, and the store has no word for it: it stays out of service.
 func TestLargeBundleIsToldAtAStartBehindAThinLink(t *testing.T) {
 	g := NewWithT(t)
-	w := unlikeWorld(t, 2)
+	w := incompressibleWorld(t, 2)
 	w.Grow(manyRoutes)
 	v := w.Roll()
 	large := openNode(t, w, w.Hosts[0])
-	g.Eventually(large.Ready, patience).Should(BeTrue())
-	w.ThinLink(w.Hosts[1], thinLink)
+	g.Eventually(large.Ready, waitTimeout).Should(BeTrue())
+	w.ThinLink(w.Hosts[1], slowLink)
 	w.Hosts[1].Proxy.Set(world.LinkSilent)
 	small := openNode(t, w, w.Hosts[1])
-	g.Eventually(small.Ready, patience).Should(BeTrue())
+	g.Eventually(small.Ready, waitTimeout).Should(BeTrue())
 	g.Expect(small.Version()).To(Equal(v))
 }
 
@@ -129,20 +129,20 @@
 	w.Grow(manyRoutes)
 	w.Roll()
 	n := openNode(t, w, w.Hosts[0])
-	g.Eventually(n.Ready, patience).Should(BeTrue())
+	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
 	const answers = "fescueshed_store_answers_bytes_total"
 	once := n.metric(t, answers)
 	// A daemon that has just started lists, whatever it knows; by then it follows by watches.
-	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, patience).Should(BeNumerically(">=", 10))
+	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, waitTimeout).Should(BeNumerically(">=", 10))
 	w.Store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
-	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_refused_total") }, patience).Should(BeNumerically(">=", 2))
+	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_refused_total") }, waitTimeout).Should(BeNumerically(">=", 2))
 	v := w.Roll()
 	for range 10 {
 		v = w.Roll()
 	}
 	before := n.metric(t, answers)
 	w.Store.SetTrouble(metadata.Trouble{})
-	g.Eventually(n.Version, patience).Should(Equal(v))
+	g.Eventually(n.Version, waitTimeout).Should(Equal(v))
 	g.Expect(n.metric(t, answers)-before).To(BeNumerically("<=", 2*once), "a list brings the bundle once")
 }
 
@@ -161,7 +161,7 @@
 	before := small.metric(t, "fescueshed_catalogs_bytes_total") + small.metric(t, "fescueshed_store_answers_bytes_total")
 	g.Expect(before).To(BeNumerically(">", 0))
 	v := w.Roll()
-	g.Eventually(small.Version, patience).Should(Equal(v))
+	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
 	after := small.metric(t, "fescueshed_catalogs_bytes_total") + small.metric(t, "fescueshed_store_answers_bytes_total")
 	g.Expect(after - before).To(BeNumerically("<=", changeBytes))
 }
@@ -178,9 +178,9 @@
 	before := small.metric(t, "fescueshed_store_answers_bytes_total")
 	w.Hosts[0].Proxy.Set(world.LinkSilent)
 	calls := small.metric(t, "fescueshed_store_calls_total")
-	g.Eventually(small.Reads, patience).Should(BeTrue())
+	g.Eventually(small.ReadsStore, waitTimeout).Should(BeTrue())
 	made := func() int { return small.metric(t, "fescueshed_store_calls_total") - calls }
-	g.Eventually(made, patience).Should(BeNumerically(">=", 4))
+	g.Eventually(made, waitTimeout).Should(BeNumerically(">=", 4))
 	g.Expect(small.metric(t, "fescueshed_store_answers_bytes_total") - before).To(BeNumerically("<=", changeBytes))
 }
 
@@ -194,23 +194,23 @@
 	w.Roll()
 	w.Hosts[1].CPUShare = 0.1
 	small := openNode(t, w, w.Hosts[1])
-	g.Eventually(small.Ready, patience).Should(BeTrue())
+	g.Eventually(small.Ready, waitTimeout).Should(BeTrue())
 	w.Hosts[1].Proxy.Set(world.LinkSilent)
 	w.Grow(5)
 	w.Rewrite()
-	w.Hosts[0].Seeds = nobody // It reads the store before it meets the other.
+	w.Hosts[0].Seeds = unusedSeeds // It reads the store before it meets the other.
 	large := openNode(t, w, w.Hosts[0])
-	g.Eventually(large.Ready, patience).Should(BeTrue())
+	g.Eventually(large.Ready, waitTimeout).Should(BeTrue())
 	g.Expect(large.Version()).To(Equal(small.Version()))
-	g.Eventually(small.Members, patience).Should(Equal(2))
+	g.Eventually(small.Members, waitTimeout).Should(Equal(2))
 	v := w.Roll()
-	g.Eventually(large.Version, patience).Should(Equal(v))
-	g.Eventually(small.Version, patience).Should(Equal(v))
+	g.Eventually(large.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
 
-	time.Sleep(carrier.JoinedAfter)
+	time.Sleep(carrier.JoinDuration)
 	before := small.metric(t, "fescueshed_catalogs_bytes_total")
 	v = w.Roll()
-	g.Eventually(small.Version, patience).Should(Equal(v))
+	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
 	told := small.metric(t, "fescueshed_catalogs_bytes_total") - before
 	g.Expect(told).To(BeNumerically("<=", changeBytes), "then it is told by changes again")
 }
@@ -222,9 +222,9 @@
 	g := NewWithT(t)
 	w := largeWorld(t, 1)
 	n := openNode(t, w, w.Hosts[0])
-	g.Eventually(n.Ready, patience).Should(BeTrue())
-	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, patience).Should(BeNumerically(">=", 10))
+	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
+	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, waitTimeout).Should(BeNumerically(">=", 10))
 	w.Store.SetTrouble(metadata.Trouble{SlowEvents: 2 * time.Second})
 	v := w.Roll()
-	g.Eventually(n.Version, patience).Should(Equal(v))
+	g.Eventually(n.Version, waitTimeout).Should(Equal(v))
 }
--- a/internal/process/carrier/loads.go
+++ b/internal/process/carrier/loads.go
@@ -17,44 +17,44 @@
 // concurrent use.
 type zoneLoads struct {
 	mu   sync.Mutex
-	told map[peer.ID]toldLoads
-	// others are the loads of other zones, by the daemon that told them.
-	others map[peer.ID]toldZone
+	reports map[peer.ID]receivedReport
+	// zoneReports are the loads of other zones, by the daemon that told them.
+	zoneReports map[peer.ID]receivedZoneReport
 }
 
-type toldZone struct {
+type receivedZoneReport struct {
 	at    time.Time
 	zones []peer.ZoneLoad
 }
 
-type toldLoads struct {
+type receivedReport struct {
 	at     time.Time
 	report *peer.Report
 }
 
 const (
-	// reportFor is how long a report counts: four of its periods.
-	reportFor = 4 * sweepPeriod
-	// zoneReportFor is how long the word of another zone counts: two of its periods and the
+	// reportTTL is how long a report counts: four of its periods.
+	reportTTL = 4 * sweepPeriod
+	// zoneReportTTL is how long the word of another zone counts: two of its periods and the
 	// way. A zone that is cut off is silent, and each new flow that goes there meanwhile is lost
 	// for 200 ms.
-	zoneReportFor = 2*sweepPeriod + 100*time.Millisecond
+	zoneReportTTL = 2*sweepPeriod + 100*time.Millisecond
 )
 
 func newZoneLoads() *zoneLoads {
-	return &zoneLoads{told: make(map[peer.ID]toldLoads), others: make(map[peer.ID]toldZone)}
+	return &zoneLoads{reports: make(map[peer.ID]receivedReport), zoneReports: make(map[peer.ID]receivedZoneReport)}
 }
 
-func (z *zoneLoads) put(r *peer.Report, now time.Time) {
+func (z *zoneLoads) putReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.told[r.From] = toldLoads{at: now, report: r}
+	z.reports[r.From] = receivedReport{at: now, report: r}
 }
 
-func (z *zoneLoads) putZone(r *peer.Report, now time.Time) {
+func (z *zoneLoads) putZoneReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.others[r.From] = toldZone{at: now, zones: r.Zones}
+	z.zoneReports[r.From] = receivedZoneReport{at: now, zones: r.Zones}
 }
 
 // zones returns the loads of other zones of the last while.
@@ -62,9 +62,9 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var out []peer.ZoneLoad
-	for id, t := range z.others {
-		if now.Sub(t.at) > zoneReportFor {
-			delete(z.others, id)
+	for id, t := range z.zoneReports {
+		if now.Sub(t.at) > zoneReportTTL {
+			delete(z.zoneReports, id)
 			continue
 		}
 		out = append(out, t.zones...)
@@ -81,9 +81,9 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var reports []*peer.Report
-	for id, t := range z.told {
-		if now.Sub(t.at) > reportFor {
-			delete(z.told, id)
+	for id, t := range z.reports {
+		if now.Sub(t.at) > reportTTL {
+			delete(z.reports, id)
 			continue
 		}
 		if id == self || slices.ContainsFunc(children, func(m *peer.Member) bool { return m.ID == id }) {
@@ -93,11 +93,11 @@
 	return peer.SumReports(self, reports)
 }
 
-// tellLoads sends what this daemon and its children count to its parent, or the sum to
+// sendLoads sends what this daemon and its children count to its parent, or the sum to
 // all if it reads for the zone, and the zone's load to the readers of others.
-func (m *members) tellLoads(now time.Time) {
+func (m *members) sendLoads(now time.Time) {
 	v := m.view.Load()
-	m.loads.put(m.c.ownReport(v.Self), now)
+	m.loads.putReport(m.c.ownReport(v.Self), now)
 	sum := m.loads.sum(v.Self, v.Reporters(), now)
 	if p := v.Parent(); p != nil {
 		send(m, protocolReport, m.reports, sum, []*peer.Member{p})
@@ -110,7 +110,7 @@
 	}
 	ownLost, lost := m.c.storeLost(now)
 	sum.Sum, sum.Zones, sum.Stamp, sum.StoreLost = true, m.loads.zones(now), m.stamp.Add(1), lost
-	m.c.takeLoads(sum, now)
+	m.c.applyLoads(sum, now)
 	send(m, protocolReport, m.reports, sum, v.Children(peer.TreeForward, true))
 	own := &peer.Report{From: v.Self, Zones: m.c.ownZone(), StoreLost: ownLost}
 	send(m, protocolReport, m.reports, own, v.OtherReaders())
@@ -123,28 +123,28 @@
 	return list[:min(len(list), peer.MaxZones)]
 }
 
-func (m *members) heardReport(r *peer.Report, now time.Time) {
+func (m *members) receiveReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
-	if r.StoreLost && m.c.hearStoreLost(now) && !r.Sum {
-		m.tellLoads(now) // Its own zone waits for it.
+	if r.StoreLost && m.c.noteStoreLost(now) && !r.Sum {
+		m.sendLoads(now) // Its own zone waits for it.
 	}
 	switch {
 	case r.Found:
-		m.c.hint(r.Dead, now)
-		m.passOn(r, v.Audience(false), now)
+		m.c.probeSuspects(r.Dead, now)
+		m.relayReport(r, v.Audience(false), now)
 	case r.Sum:
-		m.c.takeLoads(r, now)
-		m.passOn(r, v.Children(peer.TreeForward, false), now)
+		m.c.applyLoads(r, now)
+		m.relayReport(r, v.Children(peer.TreeForward, false), now)
 	case len(r.Zones) > 0:
-		m.loads.putZone(r, now)
+		m.loads.putZoneReport(r, now)
 	default:
-		m.loads.put(r, now)
+		m.loads.putReport(r, now)
 	}
 }
 
-// passOn sends a report on to this daemon's children, once.
-func (m *members) passOn(r *peer.Report, to []*peer.Member, now time.Time) {
-	if len(to) > 0 && m.passed.first(r.From, r.Stamp, now) {
+// relayReport sends a report on to this daemon's children, once.
+func (m *members) relayReport(r *peer.Report, to []*peer.Member, now time.Time) {
+	if len(to) > 0 && m.relayed.isNew(r.From, r.Stamp, now) {
 		send(m, protocolReport, m.reports, r, to)
 	}
 }
@@ -156,8 +156,8 @@
 	return c.engine.Report(self)
 }
 
-// takeLoads takes in the zone's sum.
-func (c *Carrier) takeLoads(r *peer.Report, now time.Time) {
+// applyLoads takes in the zone's sum.
+func (c *Carrier) applyLoads(r *peer.Report, now time.Time) {
 	c.mu.Lock()
 	ejected := c.engine.TakeSum(r, now)
 	c.mu.Unlock()
@@ -166,17 +166,17 @@
 	}
 }
 
-// tellFound tells the zone at once of upstreams that were found dead: the others
+// announceDead tells the zone at once of upstreams that were found dead: the others
 // would find out by requests that fail. It tells as many as one message holds: where more fall silent together, the
 // others have found some by themselves.
-func (m *members) tellFound(ids []bundle.UpstreamID) {
+func (m *members) announceDead(ids []bundle.UpstreamID) {
 	v := m.view.Load()
 	r := &peer.Report{From: v.Self, Found: true, Dead: ids[:min(len(ids), peer.MaxDead)], Stamp: m.stamp.Add(1)}
 	send(m, protocolReport, m.reports, r, v.Audience(true))
 }
 
-// hint has upstreams looked at that another daemon found dead.
-func (c *Carrier) hint(ids []bundle.UpstreamID, now time.Time) {
+// probeSuspects has upstreams looked at that another daemon found dead.
+func (c *Carrier) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
 	c.mu.Lock()
 	for _, id := range ids {
 		c.engine.Hint(id, now)
--- a/internal/process/carrier/loads_test.go
+++ b/internal/process/carrier/loads_test.go
@@ -31,9 +31,9 @@
 
 	It("count those of a daemon and its children, not of former children", func() {
 		z := newZoneLoads()
-		z.put(told(1, 10), now)
-		z.put(told(2, 20), now)
-		z.put(told(3, 30), now)
+		z.putReport(told(1, 10), now)
+		z.putReport(told(2, 20), now)
+		z.putReport(told(3, 30), now)
 		Expect(z.sum(1, children(2, 3), now).Loads).To(Equal([]peer.Load{{Cookie: 7, Flows: 60}}))
 		Expect(z.sum(1, nil, now).Loads).To(Equal([]peer.Load{{Cookie: 7, Flows: 10}}))
 		Expect(z.sum(1, children(3), now).Services).To(Equal([]peer.ServiceLoad{{Service: "feed", Flows: 40, Requests: 2}}))
@@ -43,14 +43,14 @@
 	// for as long as that word is passed on.
 	It("of another zone are told on for a second", func() {
 		z := newZoneLoads()
-		z.putZone(&peer.Report{From: 9, Zones: []peer.ZoneLoad{{Zone: "b", Service: "feed", Slots: 4}}}, now)
+		z.putZoneReport(&peer.Report{From: 9, Zones: []peer.ZoneLoad{{Zone: "b", Service: "feed", Slots: 4}}}, now)
 		Expect(z.zones(now.Add(2*sweepPeriod))).To(HaveLen(1), "one report may be lost")
-		Expect(z.zones(now.Add(zoneReportFor + 1))).To(BeEmpty())
+		Expect(z.zones(now.Add(zoneReportTTL + 1))).To(BeEmpty())
 	})
 
 	It("are forgotten when they are no longer told", func() {
 		z := newZoneLoads()
-		z.put(told(2, 20), now)
-		Expect(z.sum(1, children(2), now.Add(reportFor+1)).Loads).To(BeEmpty())
+		z.putReport(told(2, 20), now)
+		Expect(z.sum(1, children(2), now.Add(reportTTL+1)).Loads).To(BeEmpty())
 	})
 })
--- a/internal/process/carrier/memberlog.go
+++ b/internal/process/carrier/memberlog.go
@@ -20,14 +20,14 @@
 type memberLog struct {
 	mu      sync.Mutex
 	limiter *logs.Limiter
-	// rest sums up what has no line of its own.
-	rest    map[bundle.Zone]memberChanges
+	// summaries sums up what has no line of its own.
+	summaries    map[bundle.Zone]memberChanges
 	written time.Time
 }
 
 // memberChanges counts the changes of a zone's members.
 type memberChanges struct {
-	Came, Changed, Went int
+	Joined, Changed, Departed int
 }
 
 const (
@@ -39,7 +39,7 @@
 )
 
 func newMemberLog() *memberLog {
-	return &memberLog{limiter: logs.NewLimiter(memberLines), rest: make(map[bundle.Zone]memberChanges)}
+	return &memberLog{limiter: logs.NewLimiter(memberLines), summaries: make(map[bundle.Zone]memberChanges)}
 }
 
 // changed tells of the differences of two views.
@@ -52,22 +52,22 @@
 		if was != nil && was.State == v.State && was.Boot == v.Boot || l.line("Member", v, view, now) {
 			continue
 		}
-		sum := l.rest[v.Zone]
+		sum := l.summaries[v.Zone]
 		if was == nil {
-			sum.Came++
+			sum.Joined++
 		} else {
 			sum.Changed++
 		}
-		l.rest[v.Zone] = sum
+		l.summaries[v.Zone] = sum
 	}
 	for i := range old.Members {
 		v := &old.Members[i]
 		if view.Member(v.ID) != nil || l.line("Member is no longer there", v, view, now) {
 			continue
 		}
-		sum := l.rest[v.Zone]
-		sum.Went++
-		l.rest[v.Zone] = sum
+		sum := l.summaries[v.Zone]
+		sum.Departed++
+		l.summaries[v.Zone] = sum
 	}
 }
 
@@ -84,13 +84,13 @@
 func (l *memberLog) sum(members int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.rest) == 0 || now.Sub(l.written) < memberSumPeriod {
+	if len(l.summaries) == 0 || now.Sub(l.written) < memberSumPeriod {
 		return
 	}
-	for _, z := range slices.Sorted(maps.Keys(l.rest)) {
-		s := l.rest[z]
-		klog.InfoS("Members changed", "Zone", z, "Came", s.Came, "Changed", s.Changed, "Went", s.Went, "Members", members)
+	for _, z := range slices.Sorted(maps.Keys(l.summaries)) {
+		s := l.summaries[z]
+		klog.InfoS("Members changed", "Zone", z, "Came", s.Joined, "Changed", s.Changed, "Went", s.Departed, "Members", members)
 	}
-	clear(l.rest)
+	clear(l.summaries)
 	l.written = now
 }
--- a/internal/process/carrier/members.go
+++ b/internal/process/carrier/members.go
@@ -23,7 +23,7 @@
 
 const (
 	protocolMembership protocol = iota + 1
-	protocolNews
+	protocolAdvertisement
 	protocolReport
 )
 
@@ -33,25 +33,25 @@
 	ctx     context.Context
 	ports   *udpport.Ports
 	swim    *peer.Numbered[peer.Message, *peer.Message]
-	news    *peer.Numbered[peer.News, *peer.News]
+	advertisements    *peer.Numbered[peer.News, *peer.News]
 	reports *peer.Numbered[peer.Report, *peer.Report]
 	catalog *peer.Codec[peer.Catalog, *peer.Catalog]
 	loads   *zoneLoads
-	lines   *memberLog
+	changes   *memberLog
 	wg      sync.WaitGroup
 	// stamp is that of the last report which others pass on, passed are those of theirs.
 	stamp  atomic.Uint64
-	passed *stamps
+	relayed *relayedStamps
 
 	// view is what is known of the members.
 	view atomic.Pointer[peer.View]
-	// pulling is set while everything is fetched from another daemon.
-	pulling atomic.Bool
-	// telling bounds how many others are told everything at once.
-	telling chan struct{}
+	// fetching is set while everything is fetched from another daemon.
+	fetching atomic.Bool
+	// joinSlots bounds how many others are told everything at once.
+	joinSlots chan struct{}
 
-	// met is told when a daemon that knew no other one knows some.
-	met chan struct{}
+	// firstMemberMet is told when a daemon that knew no other one knows some.
+	firstMemberMet chan struct{}
 
 	// mu guards what follows.
 	mu       sync.Mutex
@@ -61,7 +61,7 @@
 	// seedPeriod is the pause after the next question to the seeds.
 	seedPeriod time.Duration
 
-	in, out, inBytes, outBytes, dropped atomic.Uint64
+	received, sent, receivedBytes, sentBytes, dropped atomic.Uint64
 	// pulls counts what was fetched from other daemons. pullLines bounds the lines about fetches
 	// that failed.
 	pulls     transfer.Counts
@@ -76,7 +76,7 @@
 const (
 	seedPeriod      = 300 * time.Millisecond
 	maxSeedPeriod   = 2400 * time.Millisecond
-	knownSeedPeriod = 20 * time.Second
+	joinedSeedPeriod = 20 * time.Second
 )
 
 // milliCores is the unit of peer.Member.Size.
@@ -85,9 +85,9 @@
 func (c *Carrier) startMembers(ctx context.Context) (func(), error) {
 	cfg := c.cfg.Load()
 	m := &members{
-		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), lines: newMemberLog(), passed: newStamps(),
+		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedStamps(),
 		pullLines: logs.NewLimiter(pullLines),
-		telling:   make(chan struct{}, max(minTold, int(toldByCore*cfg.CPUShare))), met: make(chan struct{}, 1),
+		joinSlots:   make(chan struct{}, max(minJoinSlots, int(joinSlotsPerCore*cfg.CPUShare))), firstMemberMet: make(chan struct{}, 1),
 	}
 	m.stamp.Store(uint64(c.started.UnixNano()))
 	if err := m.newCodecs(keys(cfg)); err != nil {
@@ -148,7 +148,7 @@
 	if m.swim, err = peer.NewNumbered[peer.Message](k, peer.DomainNumberedMembership); err != nil {
 		return err
 	}
-	if m.news, err = peer.NewNumbered[peer.News](k, peer.DomainNews); err != nil {
+	if m.advertisements, err = peer.NewNumbered[peer.News](k, peer.DomainNews); err != nil {
 		return err
 	}
 	if m.reports, err = peer.NewNumbered[peer.Report](k, peer.DomainReport); err != nil {
@@ -164,14 +164,14 @@
 // setKeys replaces the secrets that daemons share.
 func (m *members) setKeys(k peer.Keys) {
 	m.swim.SetKeys(k)
-	m.news.SetKeys(k)
+	m.advertisements.SetKeys(k)
 	m.reports.SetKeys(k)
 	m.catalog.SetKeys(k)
 }
 
 func (m *members) datagram(from netip.AddrPort, b []byte) {
-	m.in.Add(1)
-	m.inBytes.Add(uint64(len(b)))
+	m.received.Add(1)
+	m.receivedBytes.Add(uint64(len(b)))
 	if len(b) == 0 {
 		m.dropped.Add(1)
 		return
@@ -181,12 +181,12 @@
 	switch body := b[1:]; protocol(b[0]) {
 	case protocolMembership:
 		err = receive(m.swim, body, func(msg *peer.Message) {
-			m.do(func(g *peer.Membership) []peer.Envelope { return g.Receive(now, from, msg) })
+			m.update(func(g *peer.Membership) []peer.Envelope { return g.Receive(now, from, msg) })
 		})
-	case protocolNews:
-		err = receive(m.news, body, func(n *peer.News) { m.heardNews(from, n, now) })
+	case protocolAdvertisement:
+		err = receive(m.advertisements, body, func(n *peer.News) { m.receiveAdvertisement(from, n, now) })
 	case protocolReport:
-		err = receive(m.reports, body, func(r *peer.Report) { m.heardReport(r, now) })
+		err = receive(m.reports, body, func(r *peer.Report) { m.receiveReport(r, now) })
 	default:
 		err = peer.ErrMessage
 	}
@@ -230,13 +230,13 @@
 
 func (m *members) write(b []byte, to netip.AddrPort, fresh bool) {
 	if m.ports.Send(b, to, fresh) {
-		m.out.Add(1)
-		m.outBytes.Add(uint64(len(b)))
+		m.sent.Add(1)
+		m.sentBytes.Add(uint64(len(b)))
 	}
 }
 
-// do changes the membership, puts a changed view in force and sends messages.
-func (m *members) do(f func(g *peer.Membership) []peer.Envelope) {
+// update changes the membership, puts a changed view in force and sends messages.
+func (m *members) update(f func(g *peer.Membership) []peer.Envelope) {
 	m.mu.Lock()
 	out := f(m.group)
 	var view, old *peer.View
@@ -248,10 +248,10 @@
 	}
 	m.mu.Unlock()
 	if view != nil {
-		m.lines.changed(old, view, time.Now())
+		m.changes.changed(old, view, time.Now())
 		if len(old.Members) == 1 && len(view.Members) > 1 {
 			select {
-			case m.met <- struct{}{}:
+			case m.firstMemberMet <- struct{}{}:
 			default:
 			}
 		}
@@ -267,27 +267,27 @@
 	}
 }
 
-// joinAfter are the times after the start at which everything is fetched from
+// joinFetchTimes are the times after the start at which everything is fetched from
 // another daemon. Gossip alone takes ten seconds to tell 78 daemons that start
 // together of each other; by the second time each has asked a seed.
-var joinAfter = [...]time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
+var joinFetchTimes = [...]time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
 
-// JoinedAfter is when the last of them is over.
-const JoinedAfter = 6 * time.Second
+// JoinDuration is when the last of them is over.
+const JoinDuration = 6 * time.Second
 
 // join fetches what others know: the bundle, upstreams and members.
 func (m *members) join(ctx context.Context) {
-	m.learn(ctx)
-	for _, after := range joinAfter {
+	m.bootstrap(ctx)
+	for _, after := range joinFetchTimes {
 		sleep(ctx, after/2+rand.N(after)-time.Since(m.c.started))
-		if to := m.anyone(); to.IsValid() && ctx.Err() == nil {
+		if to := m.anyMember(); to.IsValid() && ctx.Err() == nil {
 			m.pull(to, false)
 		}
 	}
 }
 
-// anyone returns the address of a seed that is a member, or else of any member.
-func (m *members) anyone() netip.AddrPort {
+// anyMember returns the address of a seed that is a member, or else of any member.
+func (m *members) anyMember() netip.AddrPort {
 	v := m.view.Load()
 	var seeds, others []netip.AddrPort
 	for i := range v.Members {
@@ -308,8 +308,8 @@
 	return netip.AddrPort{}
 }
 
-// elsewhere returns the address of a member of another zone, if there is one.
-func (m *members) elsewhere() netip.AddrPort {
+// memberInOtherZone returns the address of a member of another zone, if there is one.
+func (m *members) memberInOtherZone() netip.AddrPort {
 	v := m.view.Load()
 	zone := m.c.cfg.Load().Zone
 	var others []netip.AddrPort
@@ -327,7 +327,7 @@
 // tick lets the membership see the time and asks the seeds.
 func (m *members) tick(now time.Time) {
 	version := m.c.inForce.Version()
-	m.do(func(g *peer.Membership) []peer.Envelope {
+	m.update(func(g *peer.Membership) []peer.Envelope {
 		g.SetBundle(version)
 		out := g.Tick(now)
 		if now.Before(m.nextSeed) {
@@ -335,8 +335,8 @@
 		}
 		m.nextSeed = now.Add(m.seedPeriod)
 		m.seedPeriod = min(2*m.seedPeriod, maxSeedPeriod)
-		if len(m.view.Load().Members) > 1 && m.c.start.ready.happened() {
-			m.nextSeed = now.Add(knownSeedPeriod/2 + rand.N(knownSeedPeriod))
+		if len(m.view.Load().Members) > 1 && m.c.start.ready.isSet() {
+			m.nextSeed = now.Add(joinedSeedPeriod/2 + rand.N(joinedSeedPeriod))
 		}
 		return append(out, g.Seed(m.c.cfg.Load().Seeds)...)
 	})
@@ -349,10 +349,10 @@
 	return m.group.MetServing()
 }
 
-func (m *members) leave() {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.Leave(time.Now()) })
+func (m *members) sendLeaving() {
+	m.update(func(g *peer.Membership) []peer.Envelope { return g.Leave(time.Now()) })
 }
 
-func (m *members) left() {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.Left(time.Now()) })
+func (m *members) sendLeft() {
+	m.update(func(g *peer.Membership) []peer.Envelope { return g.Left(time.Now()) })
 }
--- a/internal/process/carrier/news.go
+++ b/internal/process/carrier/news.go
@@ -9,87 +9,87 @@
 )
 
 const (
-	// newsSpan is how far back the changes in a news reach: three of its periods, so
+	// advertisedSpan is how far back the changes in a news reach: three of its periods, so
 	// that two lost datagrams in a row cost nothing.
-	newsSpan = 3 * sweepPeriod
-	// staleNews is how old the store's word may be for a daemon to pass it on.
-	staleNews = 1500 * time.Millisecond
+	advertisedSpan = 3 * sweepPeriod
+	// maxAdvertisedAge is how old the store's word may be for a daemon to pass it on.
+	maxAdvertisedAge = 1500 * time.Millisecond
 )
 
-// tellNews tells the zone and the readers of other zones what this daemon knows of the
+// advertise tells the zone and the readers of other zones what this daemon knows of the
 // store, if it is one that reads.
-func (m *members) tellNews(now time.Time) {
+func (m *members) advertise(now time.Time) {
 	v := m.view.Load()
 	m.c.mu.Lock()
-	reads := m.c.follows(v.ReaderRank(), now)
+	reads := m.c.followsStore(v.ReaderRank(), now)
 	m.c.mu.Unlock()
 	if reads {
-		m.sendNews(v.Self, append(v.Audience(true), v.OtherReaders()...), now)
+		m.sendAdvertisement(v.Self, append(v.Audience(true), v.OtherReaders()...), now)
 	}
 }
 
-// passNews passes on what another daemon told: a zone's reader tells its zone what
+// relayAdvertisement passes on what another daemon told: a zone's reader tells its zone what
 // another zone's told, and in a large zone each member tells its children, once.
-func (m *members) passNews(origin peer.ID, now time.Time) {
+func (m *members) relayAdvertisement(origin peer.ID, now time.Time) {
 	v := m.view.Load()
 	if v.ZoneReader() {
 		// One of the own zone stands in for this daemon and has told the others.
 		if o := v.Member(origin); o != nil && o.Zone != m.c.cfg.Load().Zone {
-			m.sendNews(v.Self, v.Audience(true), now)
+			m.sendAdvertisement(v.Self, v.Audience(true), now)
 		}
 		return
 	}
-	if to := v.Audience(false); origin != 0 && len(to) > 0 && m.c.passesOn() {
-		m.sendNews(origin, to, now)
+	if to := v.Audience(false); origin != 0 && len(to) > 0 && m.c.shouldRelay() {
+		m.sendAdvertisement(origin, to, now)
 	}
 }
 
-// passesOn reports whether this daemon knows more than it passed on before, and notes
+// shouldRelay reports whether this daemon knows more than it passed on before, and notes
 // what it knows as passed on.
-func (c *Carrier) passesOn() bool {
+func (c *Carrier) shouldRelay() bool {
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := word{
-		bundle: version, asOf: c.known.catalog.AsOf, digest: c.known.catalog.Digest(), evacuated: c.known.evacuated.Stored.Digest(),
-		as: c.known.confirmedAll(),
+	w := advertisementSummary{
+		bundle: version, asOf: c.state.catalog.AsOf, digest: c.state.catalog.Digest(), evacuated: c.state.evacuated.Stored.Digest(),
+		confirmed: c.state.confirmedAll(),
 	}
-	if !w.newer(c.passed) {
+	if !w.newer(c.lastRelayed) {
 		return false
 	}
-	c.passed = w
+	c.lastRelayed = w
 	return true
 }
 
-// sendNews sends what this daemon knows, if that is fresh.
-func (m *members) sendNews(origin peer.ID, to []*peer.Member, now time.Time) {
+// sendAdvertisement sends what this daemon knows, if that is fresh.
+func (m *members) sendAdvertisement(origin peer.ID, to []*peer.Member, now time.Time) {
 	c := m.c
 	c.mu.Lock()
-	as := c.known.confirmedAll()
-	if now.Sub(as) > staleNews {
+	as := c.state.confirmedAll()
+	if now.Sub(as) > maxAdvertisedAge {
 		c.mu.Unlock()
 		return
 	}
 	n := &peer.News{
 		From:       origin,
 		Age:        now.Sub(as),
-		Doubt:      c.known.catalog.Doubt(now),
-		BundleAsOf: c.known.bundleAsOf,
-		AsOf:       c.known.catalog.AsOf,
-		Digest:     c.known.catalog.Digest(),
-		Changes:    c.known.catalog.Recent(now.Add(-newsSpan), peer.MaxNewsChanges),
-		Evacuated:  peer.Evacuated(&c.known.evacuated.Stored),
+		Doubt:      c.state.catalog.Doubt(now),
+		BundleAsOf: c.state.bundleAsOf,
+		AsOf:       c.state.catalog.AsOf,
+		Digest:     c.state.catalog.Digest(),
+		Changes:    c.state.catalog.Recent(now.Add(-advertisedSpan), peer.MaxNewsChanges),
+		Evacuated:  peer.Evacuated(&c.state.evacuated.Stored),
 	}
 	c.mu.Unlock()
 	// Read after the age, so that a version isn't called newer than it is known to be.
 	n.Bundle = c.inForce.Version()
-	send(m, protocolNews, m.news, n, to)
+	send(m, protocolAdvertisement, m.advertisements, n, to)
 }
 
-// heardNews takes in what another daemon read in the store. If that doesn't lead to
+// receiveAdvertisement takes in what another daemon read in the store. If that doesn't lead to
 // what the sender knows, everything is fetched from it, and the news don't count as
 // heard.
-func (m *members) heardNews(from netip.AddrPort, n *peer.News, now time.Time) {
+func (m *members) receiveAdvertisement(from netip.AddrPort, n *peer.News, now time.Time) {
 	v := m.view.Load()
 	if n.From == v.Self {
 		return // This daemon's own word, which came back while others differ in who is there.
@@ -98,22 +98,22 @@
 	c := m.c
 	version := c.inForce.Version()
 	c.mu.Lock()
-	if n.AsOf.Epoch() < c.known.epoch {
+	if n.AsOf.Epoch() < c.state.epoch {
 		c.mu.Unlock()
 		return // The sender hasn't heard yet that the store was restored from a snapshot.
 	}
-	c.seeEpoch(n.AsOf, "News", now)
-	c.origin = n.From
-	c.known.catalog.DoubtFor(n.Doubt, now)
+	c.observeEpoch(n.AsOf, "News", now)
+	c.lastOrigin = n.From
+	c.state.catalog.DoubtFor(n.Doubt, now)
 	var resets []cookie.Reset
-	if c.known.catalog.Hear(n.Changes, n.AsOf, n.Digest, now) {
-		resets = c.follow(now)
+	if c.state.catalog.Hear(n.Changes, n.AsOf, n.Digest, now) {
+		resets = c.updateEngine(now)
 	}
 	if n.Evacuated.Told() {
-		c.takeEvacuations(n.Evacuated.Zones, bundleSource{source: "News", name: from.String(), age: n.Age}, now)
+		c.applyEvacuations(n.Evacuated.Zones, bundleSource{source: "News", name: from.String(), age: n.Age}, now)
 	}
-	lacksBundle, lacksList := n.Lacks(version, c.known.catalog.AsOf, c.known.catalog.Digest())
-	lacksEvacuated := n.Evacuated.Lacks(&c.known.evacuated.Stored)
+	lacksBundle, lacksList := n.Lacks(version, c.state.catalog.AsOf, c.state.catalog.Digest())
+	lacksEvacuated := n.Evacuated.Lacks(&c.state.evacuated.Stored)
 	if !lacksList {
 		c.confirmList(as)
 	}
@@ -121,21 +121,21 @@
 		c.confirmEvacuations(as)
 	}
 	if !lacksList && !lacksBundle && !lacksEvacuated {
-		c.reading.Heard(as, v.ReadsBefore(n.From))
+		c.election.Heard(as, v.ReadsBefore(n.From))
 		c.confirmBundleAt(as, n.BundleAsOf)
 	}
 	c.mu.Unlock()
 	c.data.resets(resets)
 	if lacksList || lacksBundle || lacksEvacuated {
-		m.pull(teller(v, from, n.From), lacksBundle || lacksEvacuated)
+		m.pull(catalogAddress(v, from, n.From), lacksBundle || lacksEvacuated)
 		return
 	}
-	m.passNews(n.From, now)
+	m.relayAdvertisement(n.From, now)
 }
 
-// teller returns where to ask the daemon that sent news. Behind address translation the
+// catalogAddress returns where to ask the daemon that sent news. Behind address translation the
 // datagram doesn't show it; then the one that the news are from is asked.
-func teller(v *peer.View, from netip.AddrPort, origin peer.ID) netip.AddrPort {
+func catalogAddress(v *peer.View, from netip.AddrPort, origin peer.ID) netip.AddrPort {
 	if m := v.MemberAt(from.Addr()); m != nil {
 		return m.RPC
 	}
--- a/internal/process/carrier/probe.go
+++ b/internal/process/carrier/probe.go
@@ -48,12 +48,12 @@
 	sent := time.Now()
 	p.sent.Add(1)
 	if pr.Check {
-		p.check(pr.Upstream)
+		p.checkReachability(pr.Upstream)
 		return
 	}
-	r := p.ask(pr, sent)
+	r := p.connect(pr, sent)
 	now := time.Now()
-	p.c.probed.Update(now.Sub(sent).Seconds())
+	p.c.probeSeconds.Update(now.Sub(sent).Seconds())
 	c := p.c
 	c.mu.Lock()
 	before := c.engine.Health(pr.Upstream.ID)
@@ -62,7 +62,7 @@
 	c.mu.Unlock()
 	c.data.resets(resets)
 	if after == cookie.HealthDead && before != after && pr.Listed {
-		c.members.tellFound([]bundle.UpstreamID{pr.Upstream.ID})
+		c.members.announceDead([]bundle.UpstreamID{pr.Upstream.ID})
 	}
 	if before != after {
 		klog.InfoS("Upstream probed", "Upstream", pr.Upstream.Address, "ID", pr.Upstream.ID, "Listed", pr.Listed,
@@ -70,9 +70,9 @@
 	}
 }
 
-// check looks whether this host reaches an upstream.
-func (p *probes) check(u *bundle.UpstreamRoute) {
-	accepted := p.quick(u)
+// checkReachability looks whether this host reaches an upstream.
+func (p *probes) checkReachability(u *bundle.UpstreamRoute) {
+	accepted := p.acceptsQuickly(u)
 	now := time.Now()
 	p.c.mu.Lock()
 	p.c.engine.Checked(accepted, now)
@@ -83,15 +83,15 @@
 	p.send(due)
 }
 
-// ask connects to the upstream and asks for its health. The connection alone shows
+// connect connects to the upstream and asks for its health. The connection alone shows
 // that something listens there; the answer shows which upstream it is.
-func (p *probes) ask(pr cookie.Probe, sent time.Time) cookie.ProbeResult {
-	a := &attempt{p: p, pr: pr, sent: sent, referred: make(chan struct{})}
-	conn, err := p.dial(pr.Upstream, a.begins)
+func (p *probes) connect(pr cookie.Probe, sent time.Time) cookie.ProbeResult {
+	a := &attempt{p: p, pr: pr, sent: sent, referenceDone: make(chan struct{})}
+	conn, err := p.dial(pr.Upstream, a.scheduleUnacceptedCheck)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return cookie.ProbeRefused
-	case err != nil && a.reference():
+	case err != nil && a.referenceAccepts():
 		return cookie.ProbeTimeout
 	case err != nil:
 		return cookie.ProbeUnsure
@@ -105,28 +105,28 @@
 	p    *probes
 	pr   cookie.Probe
 	sent time.Time
-	// referred is closed once quick is known, see reference.
-	referred chan struct{}
-	quick    bool
+	// referenceDone is closed once quick is known, see reference.
+	referenceDone chan struct{}
+	referenceAccepted    bool
 	once     sync.Once
 }
 
-// unacceptedPart is the part of the time-out for which a connection is left open before another upstream is asked.
-const unacceptedPart = 4
+// unacceptedDivisor is the part of the time-out for which a connection is left open before another upstream is asked.
+const unacceptedDivisor = 4
 
-// begins is called just before the attempt's first packet goes out.
-func (a *attempt) begins(conn syscall.RawConn) {
+// scheduleUnacceptedCheck is called just before the attempt's first packet goes out.
+func (a *attempt) scheduleUnacceptedCheck(conn syscall.RawConn) {
 	timeout := time.Duration(a.p.c.cfg.Load().ProbeTimeout)
-	time.AfterFunc(timeout/unacceptedPart, func() {
-		if a.p.ctx.Err() == nil && waits(conn) && a.reference() && waits(conn) {
-			a.p.unaccepted(a.pr, a.sent)
+	time.AfterFunc(timeout/unacceptedDivisor, func() {
+		if a.p.ctx.Err() == nil && unaccepted(conn) && a.referenceAccepts() && unaccepted(conn) {
+			a.p.reportUnaccepted(a.pr, a.sent)
 		}
 	})
 }
 
-// waits reports whether a connection isn't accepted yet. It asks the system: on a host that is short of processor time,
+// unaccepted reports whether a connection isn't accepted yet. It asks the system: on a host that is short of processor time,
 // what was accepted long ago may not have been read, while the answer of a reference that came later has.
-func waits(conn syscall.RawConn) bool {
+func unaccepted(conn syscall.RawConn) bool {
 	waiting := false
 	err := conn.Control(func(fd uintptr) {
 		_, err := unix.Getpeername(int(fd))
@@ -135,18 +135,18 @@
 	return err == nil && waiting // It was closed otherwise: the attempt is over.
 }
 
-// reference reports whether another upstream accepts a connection quickly. It is asked once.
-func (a *attempt) reference() bool {
+// referenceAccepts reports whether another upstream accepts a connection quickly. It is asked once.
+func (a *attempt) referenceAccepts() bool {
 	a.once.Do(func() {
-		a.quick = a.p.quick(a.pr.Reference)
-		close(a.referred)
+		a.referenceAccepted = a.p.acceptsQuickly(a.pr.Reference)
+		close(a.referenceDone)
 	})
-	<-a.referred
-	return a.quick
+	<-a.referenceDone
+	return a.referenceAccepted
 }
 
-// unaccepted tells that a probe is left open, though its reference was accepted.
-func (p *probes) unaccepted(pr cookie.Probe, sent time.Time) {
+// reportUnaccepted tells that a probe is left open, though its reference was accepted.
+func (p *probes) reportUnaccepted(pr cookie.Probe, sent time.Time) {
 	now := time.Now()
 	c := p.c
 	c.mu.Lock()
@@ -156,7 +156,7 @@
 	c.data.resets(resets)
 	p.send(due)
 	if len(found) > 0 {
-		c.members.tellFound(found)
+		c.members.announceDead(found)
 		klog.InfoS("Upstreams of a zone are silent", "Zone", pr.Upstream.Zone, "Upstreams", len(found), "FlowsReset", len(resets),
 			"ProbedNext", len(due))
 	}
@@ -175,9 +175,9 @@
 	return nd.DialContext(ctx, "tcp4", u.Address.String())
 }
 
-// quick reports whether an upstream accepts a connection in a fifth of the time
+// acceptsQuickly reports whether an upstream accepts a connection in a fifth of the time
 // that a doubted one is given.
-func (p *probes) quick(u *bundle.UpstreamRoute) bool {
+func (p *probes) acceptsQuickly(u *bundle.UpstreamRoute) bool {
 	if u == nil {
 		return false
 	}
@@ -187,11 +187,11 @@
 		return false
 	}
 	_ = conn.Close() // Nothing was sent.
-	return time.Since(began) < time.Duration(p.c.cfg.Load().ProbeTimeout)/quickPart
+	return time.Since(began) < time.Duration(p.c.cfg.Load().ProbeTimeout)/quickDivisor
 }
 
-// quickPart is the part of the time-out in which a healthy upstream accepts.
-const quickPart = 5
+// quickDivisor is the part of the time-out in which a healthy upstream accepts.
+const quickDivisor = 5
 
 func (p *probes) identify(conn net.Conn, pr cookie.Probe) cookie.ProbeResult {
 	t := &http.Transport{
--- a/internal/process/carrier/probe_test.go
+++ b/internal/process/carrier/probe_test.go
@@ -18,13 +18,13 @@
 	var raw syscall.RawConn
 	before := false
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
-		raw, before = c, waits(c)
+		raw, before = c, unaccepted(c)
 		return nil
 	}}
 	c, err := d.DialContext(t.Context(), "tcp4", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(before).To(BeTrue(), "its first packet isn't out yet")
-	g.Expect(waits(raw)).To(BeFalse(), "nobody has read that it is accepted")
+	g.Expect(unaccepted(raw)).To(BeFalse(), "nobody has read that it is accepted")
 	g.Expect(c.Close()).To(Succeed())
-	g.Expect(waits(raw)).To(BeFalse(), "it is over")
+	g.Expect(unaccepted(raw)).To(BeFalse(), "it is over")
 }
--- a/internal/process/carrier/relay.go
+++ b/internal/process/carrier/relay.go
@@ -9,10 +9,10 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// stamps tells reports that were passed on already from new ones, so that a report that
+// relayedStamps tells reports that were passed on already from new ones, so that a report that
 // comes by both trees, or goes round while daemons differ in who is there, is passed on
 // once. It is safe for concurrent use.
-type stamps struct {
+type relayedStamps struct {
 	mu   sync.Mutex
 	last map[peer.ID]stamped
 }
@@ -22,52 +22,52 @@
 	at    time.Time
 }
 
-// stampFor is how long a stamp counts. A daemon that starts again with a clock that
+// stampTTL is how long a stamp counts. A daemon that starts again with a clock that
 // jumped back begins with lower stamps; its reports are passed on again after this.
-const stampFor = 2 * time.Second
+const stampTTL = 2 * time.Second
 
-func newStamps() *stamps { return &stamps{last: make(map[peer.ID]stamped)} }
+func newRelayedStamps() *relayedStamps { return &relayedStamps{last: make(map[peer.ID]stamped)} }
 
-// first reports whether a report wasn't seen before, and notes it.
-func (s *stamps) first(from peer.ID, stamp uint64, now time.Time) bool {
+// isNew reports whether a report wasn't seen before, and notes it.
+func (s *relayedStamps) isNew(from peer.ID, stamp uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.last[from]; ok && stamp <= old.stamp && now.Sub(old.at) < stampFor {
+	if old, ok := s.last[from]; ok && stamp <= old.stamp && now.Sub(old.at) < stampTTL {
 		return false
 	}
 	s.last[from] = stamped{stamp: stamp, at: now}
 	return true
 }
 
-// forget drops what no longer counts.
-func (s *stamps) forget(now time.Time) {
+// expire drops what no longer counts.
+func (s *relayedStamps) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.last {
-		if now.Sub(l.at) >= stampFor {
+		if now.Sub(l.at) >= stampTTL {
 			delete(s.last, id)
 		}
 	}
 }
 
-// word is what news say, to tell new ones from those that came by the other tree.
-type word struct {
+// advertisementSummary is what news say, to tell new ones from those that came by the other tree.
+type advertisementSummary struct {
 	bundle bundle.Version
 	asOf   objects.Position
 	digest uint64
 	// evacuated is the digest of the evacuated zones.
 	evacuated uint64
-	// as is when the store last confirmed it.
-	as time.Time
+	// confirmed is when the store last confirmed it.
+	confirmed time.Time
 }
 
-// sameFor is by how much the age of one word differs by the ways that it took.
-const sameFor = 100 * time.Millisecond
+// ageTolerance is by how much the age of one word differs by the ways that it took.
+const ageTolerance = 100 * time.Millisecond
 
 // newer reports whether w says more than what was passed on before.
-func (w word) newer(than word) bool {
+func (w advertisementSummary) newer(than advertisementSummary) bool {
 	if w.bundle != than.bundle || w.asOf != than.asOf || w.digest != than.digest || w.evacuated != than.evacuated {
 		return true
 	}
-	return w.as.Sub(than.as) > sameFor
+	return w.confirmed.Sub(than.confirmed) > ageTolerance
 }
--- a/internal/process/carrier/relay_test.go
+++ b/internal/process/carrier/relay_test.go
@@ -14,37 +14,37 @@
 	now := time.Unix(1000, 0)
 
 	It("is a report once, by its stamp", func() {
-		s := newStamps()
-		Expect(s.first(1, 5, now)).To(BeTrue())
-		Expect(s.first(1, 5, now.Add(time.Second))).To(BeFalse())
-		Expect(s.first(1, 4, now.Add(time.Second))).To(BeFalse())
-		Expect(s.first(2, 4, now)).To(BeTrue())
-		Expect(s.first(1, 6, now.Add(time.Second))).To(BeTrue())
+		s := newRelayedStamps()
+		Expect(s.isNew(1, 5, now)).To(BeTrue())
+		Expect(s.isNew(1, 5, now.Add(time.Second))).To(BeFalse())
+		Expect(s.isNew(1, 4, now.Add(time.Second))).To(BeFalse())
+		Expect(s.isNew(2, 4, now)).To(BeTrue())
+		Expect(s.isNew(1, 6, now.Add(time.Second))).To(BeTrue())
 	})
 
 	It("is a report with a lower stamp once its sender must have started anew", func() {
-		s := newStamps()
-		Expect(s.first(1, 1000, now)).To(BeTrue())
-		Expect(s.first(1, 5, now.Add(stampFor))).To(BeTrue())
+		s := newRelayedStamps()
+		Expect(s.isNew(1, 1000, now)).To(BeTrue())
+		Expect(s.isNew(1, 5, now.Add(stampTTL))).To(BeTrue())
 	})
 
 	It("forgets what no longer counts", func() {
-		s := newStamps()
-		s.first(1, 5, now)
-		s.forget(now.Add(stampFor))
+		s := newRelayedStamps()
+		s.isNew(1, 5, now)
+		s.expire(now.Add(stampTTL))
 		Expect(s.last).To(BeEmpty())
 	})
 
 	It("is a word that says more than the last", func() {
-		w := word{bundle: 3, asOf: 10, digest: 7, as: now}
-		older := map[string]word{
-			"bundle": {bundle: 2, asOf: 10, digest: 7, as: now},
-			"list":   {bundle: 3, asOf: 10, digest: 6, as: now},
-			"age":    {bundle: 3, asOf: 10, digest: 7, as: now.Add(-time.Second)},
+		w := advertisementSummary{bundle: 3, asOf: 10, digest: 7, confirmed: now}
+		older := map[string]advertisementSummary{
+			"bundle": {bundle: 2, asOf: 10, digest: 7, confirmed: now},
+			"list":   {bundle: 3, asOf: 10, digest: 6, confirmed: now},
+			"age":    {bundle: 3, asOf: 10, digest: 7, confirmed: now.Add(-time.Second)},
 		}
 		for name, o := range older {
 			Expect(w.newer(o)).To(BeTrue(), name)
 		}
-		Expect(w.newer(word{bundle: 3, asOf: 10, digest: 7, as: now.Add(-sameFor)})).To(BeFalse())
+		Expect(w.newer(advertisementSummary{bundle: 3, asOf: 10, digest: 7, confirmed: now.Add(-ageTolerance)})).To(BeFalse())
 	})
 })
--- a/internal/process/carrier/restored_test.go
+++ b/internal/process/carrier/restored_test.go
@@ -22,28 +22,28 @@
 		nodes = append(nodes, openNode(t, w, h))
 	}
 	for _, n := range nodes {
-		g.Eventually(n.Ready, patience).Should(BeTrue())
-		g.Eventually(n.Members, patience).Should(Equal(len(nodes)))
+		g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		g.Eventually(n.Members, waitTimeout).Should(Equal(len(nodes)))
 	}
 	return nodes
 }
 
-// lostChanges is how many changes a store loses that is restored from a snapshot. What is written then has revisions
+// lostWrites is how many changes a store loses that is restored from a snapshot. What is written then has revisions
 // that the balancers have seen.
-const lostChanges = 5
+const lostWrites = 5
 
 // restoreStore restores the store from a snapshot, once all balancers know the changes that it loses.
 func restoreStore(t *testing.T, w *world.World, nodes []*node) {
 	t.Helper()
 	g := NewWithT(t)
 	restore := w.Store.Snapshot()
-	for range lostChanges {
+	for range lostWrites {
 		w.Rewrite()
 	}
 	for _, n := range nodes {
 		for _, kind := range []string{"Bundles", "Registrations"} {
 			name := fmt.Sprintf("fescueshed_store_revision{kind=%q}", kind)
-			g.Eventually(func() int { return n.metric(t, name) }, patience).Should(BeEquivalentTo(w.Store.Revision()))
+			g.Eventually(func() int { return n.metric(t, name) }, waitTimeout).Should(BeEquivalentTo(w.Store.Revision()))
 		}
 	}
 	restore()
@@ -58,7 +58,7 @@
 	restoreStore(t, w, nodes)
 	g.Expect(w.DrainServer()).To(BeTrue())
 	for _, n := range nodes {
-		g.Eventually(n.Takes, patience).Should(Equal(11))
+		g.Eventually(n.AvailableUpstreams, waitTimeout).Should(Equal(11))
 	}
 }
 
@@ -70,7 +70,7 @@
 	nodes := openAll(t, w)
 	restoreStore(t, w, nodes)
 	w.Evacuate("zone-2")
-	g.Eventually(evacuatedAt(nodes, "zone-2"), patience).Should(BeTrue())
+	g.Eventually(evacuatedAt(nodes, "zone-2"), waitTimeout).Should(BeTrue())
 }
 
 // Guards against a drain and an evacuation that are undone for as long as nobody has written them again to a store
@@ -84,17 +84,17 @@
 	w.Evacuate("zone-2")
 	kept := func() bool {
 		for _, n := range nodes {
-			if n.Takes() != 11 {
+			if n.AvailableUpstreams() != 11 {
 				return false
 			}
 		}
 		return evacuatedAt(nodes, "zone-2")()
 	}
-	g.Eventually(kept, patience).Should(BeTrue())
+	g.Eventually(kept, waitTimeout).Should(BeTrue())
 	restore()
 	for _, n := range nodes {
-		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, patience).Should(Equal(1))
-		g.Eventually(n.Takes).Should(Equal(11))
+		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, waitTimeout).Should(Equal(1))
+		g.Eventually(n.AvailableUpstreams).Should(Equal(11))
 	}
 	g.Consistently(kept, time.Second).Should(BeTrue())
 	for _, n := range nodes {
@@ -107,7 +107,7 @@
 	h, err := w.AddHost(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	nodes = append(nodes, openNode(t, w, h))
-	g.Eventually(kept, patience).Should(BeTrue(), "the others tell one that starts")
+	g.Eventually(kept, waitTimeout).Should(BeTrue(), "the others tell one that starts")
 	w.WriteAgain(time.Second)
 	time.Sleep(objects.RestoreGrace)
 	g.Consistently(kept, time.Second).Should(BeTrue(), "the store tells it again")
@@ -121,7 +121,7 @@
 	nodes := openAll(t, w)
 	restoreStore(t, w, nodes)
 	for _, n := range nodes {
-		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, patience).Should(Equal(1))
+		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, waitTimeout).Should(Equal(1))
 	}
 	w.Store.SetTrouble(metadata.Trouble{Former: true})
 	g.Expect(w.DrainServer()).To(BeTrue())
@@ -132,14 +132,14 @@
 		}
 		return sum
 	}
-	g.Eventually(outdated, patience).Should(BeNumerically(">", 0))
+	g.Eventually(outdated, waitTimeout).Should(BeNumerically(">", 0))
 	for _, n := range nodes {
 		age := func() int { return n.metric(t, `fescueshed_store_kind_age_seconds{kind="Registrations"}`) }
-		g.Eventually(age, patience).Should(BeNumerically(">", 3), "seconds since the list was known")
+		g.Eventually(age, waitTimeout).Should(BeNumerically(">", 3), "seconds since the list was known")
 	}
 	w.Store.SetTrouble(metadata.Trouble{})
 	for _, n := range nodes {
-		g.Eventually(n.Takes, patience).Should(Equal(11))
+		g.Eventually(n.AvailableUpstreams, waitTimeout).Should(Equal(11))
 	}
 }
 
@@ -160,13 +160,13 @@
 			g := NewWithT(t)
 			w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 			nodes := openAll(t, w)
-			g.Eventually(func() int { return readers(nodes) }, patience).Should(Equal(1))
-			reader := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.Reads() })]
+			g.Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+			reader := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.ReadsStore() })]
 			restoreStore(t, w, nodes)
 			meet(w, reader)
 			g.Expect(w.DrainServer()).To(BeTrue())
 			for _, n := range nodes {
-				g.Eventually(n.Takes, patience).Should(Equal(11))
+				g.Eventually(n.AvailableUpstreams, waitTimeout).Should(Equal(11))
 			}
 		})
 	}
@@ -180,13 +180,13 @@
 	nodes := openAll(t, w)
 	restore := w.Store.Snapshot()
 	lost := w.Roll()
-	g.Eventually(inForce(nodes, lost), patience).Should(BeTrue())
+	g.Eventually(inForce(nodes, lost), waitTimeout).Should(BeTrue())
 	restore()
 	for _, n := range nodes {
-		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, patience).Should(Equal(1))
+		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, waitTimeout).Should(Equal(1))
 	}
 	g.Expect(inForce(nodes, lost)()).To(BeTrue(), "nobody goes back")
-	g.Eventually(inForce(nodes, w.Roll()), patience).Should(BeTrue())
+	g.Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
 }
 
 // Guards against hosts that nobody finds any more after the store was restored from a snapshot without contacts: their
@@ -201,9 +201,9 @@
 	restore := w.Store.Snapshot()
 	openAll(t, w)
 	written := func() string { return w.Store.Content(kind, name) }
-	g.Eventually(written, patience).ShouldNot(BeEmpty())
+	g.Eventually(written, waitTimeout).ShouldNot(BeEmpty())
 	time.Sleep(readBack) // Then the keeper looks only rarely what the store has.
 	restore()
 	g.Expect(written()).To(BeEmpty())
-	g.Eventually(written, patience).ShouldNot(BeEmpty())
+	g.Eventually(written, waitTimeout).ShouldNot(BeEmpty())
 }
--- a/internal/process/carrier/start.go
+++ b/internal/process/carrier/start.go
@@ -28,16 +28,16 @@
 // concurrent use.
 type startup struct {
 	peer.Start
-	// ready is set when the daemon knows enough to place flows, callersWait when a caller's
-	// packet has come before, listIsLong when the store has a long list, and nobodyLarger when
+	// ready is set when the daemon knows enough to place flows, callersWaiting when a caller's
+	// packet has come before, listIsLarge when the store has a long list, and noLargerMember when
 	// there is no larger member to be asked for it.
-	ready, callersWait, listIsLong, nobodyLarger event
+	ready, callersWaiting, listIsLarge, noLargerMember event
 }
 
 func newStartup(began time.Time, first bool) *startup {
 	return &startup{
 		Start: peer.Start{Began: began, First: first},
-		ready: newEvent(), callersWait: newEvent(), listIsLong: newEvent(), nobodyLarger: newEvent(),
+		ready: newEvent(), callersWaiting: newEvent(), listIsLarge: newEvent(), noLargerMember: newEvent(),
 	}
 }
 
@@ -49,9 +49,9 @@
 
 func newEvent() event { return event{once: new(sync.Once), done: make(chan struct{})} }
 
-func (e *event) happen() { e.once.Do(func() { close(e.done) }) }
+func (e *event) set() { e.once.Do(func() { close(e.done) }) }
 
-func (e *event) happened() bool {
+func (e *event) isSet() bool {
 	select {
 	case <-e.done:
 		return true
@@ -61,48 +61,48 @@
 }
 
 const (
-	// otherKindAfter is more than one of the two lists comes after the other, on small hosts too.
-	otherKindAfter = 200 * time.Millisecond
+	// otherKindTimeout is more than one of the two lists comes after the other, on small hosts too.
+	otherKindTimeout = 200 * time.Millisecond
 	// startPoll is how often a daemon that isn't ready looks whether it should read the store.
 	startPoll = 10 * time.Millisecond
-	// hurriedPause lies between two questions to larger members while callers wait: one that isn't
+	// largerMemberPause lies between two questions to larger members while callers wait: one that isn't
 	// ready refuses at once, and is ready some 10 ms later.
-	hurriedPause = 15 * time.Millisecond
-	// tellerAnswer bounds a question. A list of 300 upstreams takes 50 ms on a host with a
+	largerMemberPause = 15 * time.Millisecond
+	// startFetchTimeout bounds a question. A list of 300 upstreams takes 50 ms on a host with a
 	// sixteenth of a core.
-	tellerAnswer = 250 * time.Millisecond
-	// longList is from how many bytes on a page counts as long: that of some 400 upstreams, which
+	startFetchTimeout = 250 * time.Millisecond
+	// largeListBytes is from how many bytes on a page counts as long: that of some 400 upstreams, which
 	// a host with a sixteenth of a core and 20 Mbit/s takes 100 ms to read. To ask for contacts and
 	// then a larger member takes it 80 ms, however long the list is.
-	longList = 96 << 10
-	// tellerHedge is how long a daemon relies on a larger member before it reads the store all the
+	largeListBytes = 96 << 10
+	// largerMemberTimeout is how long a daemon relies on a larger member before it reads the store all the
 	// same. That one may be gone, starting too, or behind a cut.
-	tellerHedge = 100 * time.Millisecond
+	largerMemberTimeout = 100 * time.Millisecond
 )
 
-// learn asks others until this daemon can place flows.
-func (m *members) learn(ctx context.Context) {
+// bootstrap asks others until this daemon can place flows.
+func (m *members) bootstrap(ctx context.Context) {
 	s := m.c.start
-	long := s.listIsLong.done
+	long := s.listIsLarge.done
 	var larger []netip.AddrPort
-	for try := 0; ctx.Err() == nil && !s.ready.happened(); {
-		if tellers := append(slices.Clone(larger), m.tellers()...); len(tellers) > 0 {
-			m.ask(tellers[try%len(tellers)])
+	for try := 0; ctx.Err() == nil && !s.ready.isSet(); {
+		if tellers := append(slices.Clone(larger), m.catalogSources()...); len(tellers) > 0 {
+			m.greetAndFetch(tellers[try%len(tellers)])
 			try++
 		}
 		pause := s.AskPause(rand.Float64())
 		if len(larger) > 0 {
-			pause = hurriedPause
+			pause = largerMemberPause
 		}
 		select {
 		case <-ctx.Done():
 		case <-s.ready.done:
-		case <-m.met:
+		case <-m.firstMemberMet:
 		case <-time.After(pause):
 		case <-long:
 			long, try = nil, 0
-			if larger = m.largerOnes(ctx); len(larger) == 0 {
-				s.nobodyLarger.happen()
+			if larger = m.largerMembers(ctx); len(larger) == 0 {
+				s.noLargerMember.set()
 			}
 		}
 	}
@@ -115,21 +115,21 @@
 	}
 	s := m.c.start
 	klog.InfoS("Ready", "After", time.Since(s.Began).Round(time.Millisecond),
-		"CallersWaited", s.callersWait.happened(), "LongList", s.listIsLong.happened(),
+		"CallersWaited", s.callersWaiting.isSet(), "LongList", s.listIsLarge.isSet(),
 		"StoreCalls", m.c.platform.Store.Counts.Calls.Load(), "MembersAsked", m.pulls.Begun.Load(),
 		"Rank", m.view.Load().ReaderRank(), "Members", len(m.view.Load().Members))
 }
 
-// ask fetches what another daemon knows, and makes itself known there.
-func (m *members) ask(to netip.AddrPort) {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.Greet(to) })
-	if err := m.fetch(to, tellerAnswer); err != nil {
+// greetAndFetch fetches what another daemon knows, and makes itself known there.
+func (m *members) greetAndFetch(to netip.AddrPort) {
+	m.update(func(g *peer.Membership) []peer.Envelope { return g.Greet(to) })
+	if err := m.fetch(to, startFetchTimeout); err != nil {
 		klog.V(1).InfoS("Member didn't tell", "Member", to, "Error", err)
 	}
 }
 
-// tellers returns where members are asked by a daemon that starts, see peer.View.Tellers.
-func (m *members) tellers() []netip.AddrPort {
+// catalogSources returns where members are asked by a daemon that starts, see peer.View.Tellers.
+func (m *members) catalogSources() []netip.AddrPort {
 	list := m.view.Load().Tellers()
 	out := make([]netip.AddrPort, 0, len(list))
 	for _, o := range list {
@@ -138,9 +138,9 @@
 	return out
 }
 
-// largerOnes returns members of the own zone that are so much larger that they have read the
+// largerMembers returns members of the own zone that are so much larger that they have read the
 // store before. If none is known, the contacts in the store name some.
-func (m *members) largerOnes(ctx context.Context) []netip.AddrPort {
+func (m *members) largerMembers(ctx context.Context) []netip.AddrPort {
 	v := m.view.Load()
 	self := v.Member(v.Self)
 	var out []netip.AddrPort
@@ -163,20 +163,20 @@
 	return o.Value.Larger(self.Zone, self.Size)
 }
 
-// wantsList is asked before a list of upstreams is read from the store, once its size is known.
+// listStillNeeded is asked before a list of upstreams is read from the store, once its size is known.
 // If it is long, a larger member gets time to tell it. It reports whether the list is still wanted.
-func (c *Carrier) wantsList(ctx context.Context, size int64) bool {
-	if size < longList {
+func (c *Carrier) listStillNeeded(ctx context.Context, size int64) bool {
+	if size < largeListBytes {
 		return true
 	}
-	c.start.listIsLong.happen()
+	c.start.listIsLarge.set()
 	select {
 	case <-ctx.Done():
 	case <-c.start.ready.done:
-	case <-c.start.nobodyLarger.done:
-	case <-time.After(tellerHedge):
+	case <-c.start.noLargerMember.done:
+	case <-time.After(largerMemberTimeout):
 	}
-	return !c.start.ready.happened()
+	return !c.start.ready.isSet()
 }
 
 // awaitOtherKind waits until this daemon can place flows, for otherKindAfter at most: the store of
@@ -185,20 +185,20 @@
 	select {
 	case <-ctx.Done():
 	case <-c.start.ready.done:
-	case <-time.After(otherKindAfter):
+	case <-time.After(otherKindTimeout):
 	}
 }
 
-// awaitTurn waits until it is time to look again whether this daemon reads: idlePoll, or until a
+// awaitReadCheck waits until it is time to look again whether this daemon reads: idlePoll, or until a
 // caller's packet comes that a daemon which isn't ready has to read for.
-func (c *Carrier) awaitTurn(ctx context.Context) {
-	if c.start.ready.happened() || c.start.callersWait.happened() {
-		sleep(ctx, idlePoll)
+func (c *Carrier) awaitReadCheck(ctx context.Context) {
+	if c.start.ready.isSet() || c.start.callersWaiting.isSet() {
+		sleep(ctx, readCheckPeriod)
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-c.start.callersWait.done:
+	case <-c.start.callersWaiting.done:
 	case <-time.After(startPoll):
 	}
 }
--- a/internal/process/carrier/start_test.go
+++ b/internal/process/carrier/start_test.go
@@ -13,12 +13,12 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// nobody is a seed where no daemon is.
-var nobody = []netip.AddrPort{netip.MustParseAddrPort("127.0.9.9:9")}
+// unusedSeeds is a seed where no daemon is.
+var unusedSeeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.9.9:9")}
 
-// makeListLong adds an entry that makes the list of upstreams long: another writer's, which names
+// makeListLarge adds an entry that makes the list of upstreams long: another writer's, which names
 // no upstream.
-func makeListLong(w *world.World) {
+func makeListLarge(w *world.World) {
 	w.Store.Put(wire.KindServers, "long", strings.Repeat("x", 128<<10))
 }
 
@@ -38,10 +38,10 @@
 		w.Store.Delete(wire.KindConfig, wire.NameConfig)
 		w.Hosts[0].FirstStart = true
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Upstreams, patience).Should(Equal(12))
+		Eventually(n.Upstreams, waitTimeout).Should(Equal(12))
 		Consistently(n.Ready, 500*time.Millisecond).Should(BeFalse())
 		w.Roll()
-		Eventually(n.Ready, patience).Should(BeTrue())
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 	})
 
 	// A host is added to a system that runs. If it read the store as each did before, 37 hosts
@@ -52,17 +52,17 @@
 		h := addHost(w)
 		h.Proxy.Set(world.LinkSilent)
 		n := startNode(w, h)
-		Eventually(n.Ready, patience).Should(BeTrue())
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(12))
-		Eventually(n.Members, patience).Should(Equal(4))
+		Eventually(n.Members, waitTimeout).Should(Equal(4))
 	})
 
 	// All power was lost. A host comes back whose seeds are all dark, and no caller has found it
 	// yet: it mustn't wait for one, or for the seeds.
 	It("reads the store at once if no seed answers", func() {
 		w := newWorld(1)
-		w.Hosts[0].Seeds = nobody
-		Eventually(startNode(w, w.Hosts[0]).Ready, patience).Should(BeTrue())
+		w.Hosts[0].Seeds = unusedSeeds
+		Eventually(startNode(w, w.Hosts[0]).Ready, waitTimeout).Should(BeTrue())
 	})
 
 	// All power was lost, and the list of upstreams is long. A small host has the contacts from
@@ -71,13 +71,13 @@
 		w := newWorld(3)
 		startAll(w)
 		const kind, name = "fescueshed-contacts", "main"
-		Eventually(func() string { return w.Store.Content(kind, name) }, patience).Should(ContainSubstring("host-1"))
-		makeListLong(w)
+		Eventually(func() string { return w.Store.Content(kind, name) }, waitTimeout).Should(ContainSubstring("host-1"))
+		makeListLarge(w)
 		h := addHost(w)
-		h.Seeds, h.CPUShare = nobody, 0.1
+		h.Seeds, h.CPUShare = unusedSeeds, 0.1
 		n := startNode(w, h)
-		Eventually(n.Ready, patience).Should(BeTrue())
-		Expect(n.Takes()).To(Equal(12))
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Expect(n.AvailableUpstreams()).To(Equal(12))
 		Expect(metricsOf(n)).NotTo(ContainSubstring("fescueshed_catalogs_fetched_total 0\n"))
 	})
 
@@ -86,23 +86,23 @@
 	It("reads a long list itself if the larger member doesn't tell", func() {
 		w := newWorld(1)
 		w.Store.Put("fescueshed-contacts", "main", map[string]any{"Members": []map[string]any{
-			{"Name": "gone", "Zone": w.Hosts[0].Zone, "Control": nobody[0].String(), "Size": 8000},
+			{"Name": "gone", "Zone": w.Hosts[0].Zone, "Control": unusedSeeds[0].String(), "Size": 8000},
 		}})
-		makeListLong(w)
-		w.Hosts[0].Seeds = nobody
+		makeListLarge(w)
+		w.Hosts[0].Seeds = unusedSeeds
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, patience).Should(BeTrue())
-		Expect(n.Takes()).To(Equal(12))
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Expect(n.AvailableUpstreams()).To(Equal(12))
 	})
 
 	// Nobody wrote contacts yet, and all hosts lose power.
 	It("reads a long list itself if there are no contacts", func() {
 		w := newWorld(1)
-		makeListLong(w)
-		w.Hosts[0].Seeds = nobody
+		makeListLarge(w)
+		w.Hosts[0].Seeds = unusedSeeds
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, patience).Should(BeTrue())
-		Expect(n.Takes()).To(Equal(12))
+		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Expect(n.AvailableUpstreams()).To(Equal(12))
 	})
 
 	// A whole zone starts for the first time. The first in rank reads for all; every other one
@@ -115,10 +115,10 @@
 			nodes = append(nodes, startNode(w, h))
 		}
 		for _, n := range nodes {
-			Eventually(n.Ready, patience).Should(BeTrue())
+			Eventually(n.Ready, waitTimeout).Should(BeTrue())
 			Expect(n.Upstreams()).To(Equal(12))
 		}
-		Eventually(func() int { return readers(nodes) }, patience).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 	})
 
 	// The reader dies. Who takes over knows the list as of the last news, and needn't read it
@@ -126,15 +126,15 @@
 	It("goes on from what it was told when it takes over the reading", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		Eventually(func() int { return readers(nodes) }, patience).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 		for _, n := range nodes {
-			if n.Reads() {
+			if n.ReadsStore() {
 				n.host.Proxy.Set(world.LinkSilent)
 			}
 		}
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		for _, n := range nodes {
-			Eventually(n.Upstreams, patience).Should(Equal(13))
+			Eventually(n.Upstreams, waitTimeout).Should(Equal(13))
 		}
 	})
 })
--- a/internal/process/carrier/status.go
+++ b/internal/process/carrier/status.go
@@ -36,11 +36,11 @@
 
 // storeStatus tells as of when the store's content is known. c.mu is held.
 func (c *Carrier) storeStatus(now time.Time) *status.StoreStatus {
-	out := &status.StoreStatus{Epoch: c.known.epoch, EpochSince: c.known.epochSince}
-	out.HeldOverOlder, out.HeldThoughMissing = c.known.catalog.Held()
+	out := &status.StoreStatus{Epoch: c.state.epoch, EpochSince: c.state.epochSince}
+	out.HeldOverOlder, out.HeldThoughMissing = c.state.catalog.Held()
 	for k := range numKinds {
 		out.Kinds = append(out.Kinds, status.StoreKindStatus{
-			Kind: k.String(), AsOf: c.known.asOf(k).String(), Age: now.Sub(c.known.confirmed[k]).Seconds(),
+			Kind: k.String(), AsOf: c.state.position(k).String(), Age: now.Sub(c.state.confirmed[k]).Seconds(),
 		})
 	}
 	return out
--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -18,14 +18,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for _, run := range []func(context.Context){
-		newFollower(c, kindBundles, c.platform.Bundles, intake[bundle.Accepted]{
-			list: c.listBundles, changes: c.changeBundles, known: c.knownBundle,
+		newFollower(c, kindBundles, c.platform.Bundles, objectHandler[bundle.Accepted]{
+			list: c.listBundles, changes: c.changeBundles, position: c.bundlesPosition,
 		}).run,
-		newFollower(c, kindUpstreams, c.platform.Registrations, intake[registry.Registration]{
-			list: c.listUpstreams, changes: c.changeUpstreams, known: c.knownList, long: true,
+		newFollower(c, kindUpstreams, c.platform.Registrations, objectHandler[registry.Registration]{
+			list: c.listUpstreams, changes: c.changeUpstreams, position: c.upstreamsPosition, long: true,
 		}).run,
-		newFollower(c, kindEvacuations, c.platform.Evacuations, intake[bundle.Zone]{
-			list: c.listEvacuations, changes: c.changeEvacuations, known: c.knownEvacuations,
+		newFollower(c, kindEvacuations, c.platform.Evacuations, objectHandler[bundle.Zone]{
+			list: c.listEvacuations, changes: c.changeEvacuations, position: c.evacuationsPosition,
 		}).run,
 	} {
 		wg.Go(func() { run(ctx) })
@@ -36,31 +36,31 @@
 	}, nil
 }
 
-// reads reports whether this daemon reads the store now: as peer.Start says until it can place
+// shouldReadStore reports whether this daemon shouldReadStore the store now: as peer.Start says until it can place
 // flows, and then as peer.Reading does.
-func (c *Carrier) reads(now time.Time) bool {
+func (c *Carrier) shouldReadStore(now time.Time) bool {
 	v := c.members.view.Load()
 	rank := v.ReaderRank()
-	if !c.start.ready.happened() {
+	if !c.start.ready.isSet() {
 		return c.start.Reads(peer.Newcomer{
-			CallersWait: c.start.callersWait.happened(), MetServing: c.members.metServing(),
+			CallersWait: c.start.callersWaiting.isSet(), MetServing: c.members.metServing(),
 			Rank: rank, Others: len(v.Members) - 1,
 		}, now)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follows(rank, now)
+	return c.followsStore(rank, now)
 }
 
-// follows reports whether this daemon, whose view says rank, follows the store. One that can't
+// followsStore reports whether this daemon, whose view says rank, followsStore the store. One that can't
 // place flows yet doesn't, and mustn't ask reading: it has heard nothing, so reading would begin,
 // and go on for a second after others have told the daemon all, on every host of a fleet that
 // starts together. c.mu is held.
-func (c *Carrier) follows(rank int, now time.Time) bool {
-	if !c.ready() {
+func (c *Carrier) followsStore(rank int, now time.Time) bool {
+	if !c.canPlaceFlowsLocked() {
 		return false
 	}
-	return c.reading.Reads(c.start.ReaderRank(rank, now), now)
+	return c.election.Reads(c.start.ReaderRank(rank, now), now)
 }
 
 func (c *Carrier) listUpstreams(s objects.Snapshot[registry.Registration], now time.Time) {
@@ -70,32 +70,32 @@
 			list = append(list, r)
 		}
 	}
-	c.takeList(s.AsOf, now, func() bool { return c.known.catalog.Replace(list, s.AsOf, now) })
+	c.applyStoredUpstreams(s.AsOf, now, func() bool { return c.state.catalog.Replace(list, s.AsOf, now) })
 }
 
-// readHere notes that this daemon itself has read the store: it needn't again, unless nobody
+// noteOwnRead notes that this daemon itself has read the store: it needn't again, unless nobody
 // tells it more in time. c.mu is held.
-func (c *Carrier) readHere() { c.reading.Heard(c.known.confirmedAll(), false) }
+func (c *Carrier) noteOwnRead() { c.election.Heard(c.state.confirmedAll(), false) }
 
-// storeFails notes that a call of the store failed. The first time it tells others at once: they
+// noteStoreFailure notes that a call of the store failed. The first time it tells others at once: they
 // hear no news meanwhile, and would turn to the store themselves.
-func (c *Carrier) storeFails(now time.Time) {
+func (c *Carrier) noteStoreFailure(now time.Time) {
 	c.mu.Lock()
-	first := c.known.failing.IsZero()
-	c.known.failing = now
+	first := c.state.failing.IsZero()
+	c.state.failing = now
 	c.mu.Unlock()
 	if first {
-		c.members.tellLoads(now)
+		c.members.sendLoads(now)
 	}
 }
 
-// hearStoreLost notes that a daemon which reads has no answer from the store. It reports whether
+// noteStoreLost notes that a daemon which reads has no answer from the store. It reports whether
 // that is new.
-func (c *Carrier) hearStoreLost(now time.Time) bool {
+func (c *Carrier) noteStoreLost(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.reading.StoreIsLost(now)
-	c.reading.StoreLost(now)
+	known := c.election.StoreIsLost(now)
+	c.election.StoreLost(now)
 	return !known
 }
 
@@ -105,32 +105,32 @@
 func (c *Carrier) storeLost(now time.Time) (own, any bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ready() {
+	if !c.canPlaceFlowsLocked() {
 		return false, false
 	}
-	own = !c.known.failing.IsZero() && now.Sub(c.known.failing) < failingFor
-	return own, own || c.reading.StoreIsLost(now) || now.Sub(c.known.confirmedAll()) > staleNews
+	own = !c.state.failing.IsZero() && now.Sub(c.state.failing) < storeFailureTTL
+	return own, own || c.election.StoreIsLost(now) || now.Sub(c.state.confirmedAll()) > maxAdvertisedAge
 }
 
-// failingFor is how long a failed call counts: more than the pause to the next one of the first
+// storeFailureTTL is how long a failed call counts: more than the pause to the next one of the first
 // in rank, and a call that hangs.
-const failingFor = 3 * time.Second
+const storeFailureTTL = 3 * time.Second
 
-// knownList returns the position as of which the list of upstreams is known as a whole, zero if
+// upstreamsPosition returns the position as of which the list of upstreams is known as a whole, zero if
 // it isn't.
-func (c *Carrier) knownList() objects.Position {
+func (c *Carrier) upstreamsPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ready() || c.known.lacksWholeList {
+	if !c.canPlaceFlowsLocked() || c.state.needsWholeList {
 		return 0
 	}
-	return c.known.catalog.AsOf
+	return c.state.catalog.AsOf
 }
 
-// follow lets the engine route by what changed in the catalog. It returns resets for flows
+// updateEngine lets the engine route by what changed in the catalog. It returns resets for flows
 // that ended by it, to be sent once c.mu isn't held any more, as it is here.
-func (c *Carrier) follow(now time.Time) []cookie.Reset {
-	changes := c.known.catalog.TakeChanges()
+func (c *Carrier) updateEngine(now time.Time) []cookie.Reset {
+	changes := c.state.catalog.TakeChanges()
 	before := c.engine.Counters.Restarts
 	resets := c.engine.Update(changes, now)
 	unusable := 0
@@ -161,29 +161,29 @@
 			changes = append(changes, registry.Change{Registration: r, Gone: ch.List[i].Deleted})
 		}
 	}
-	c.takeList(ch.AsOf, now, func() bool { return c.known.catalog.Apply(changes, ch.AsOf, now) })
+	c.applyStoredUpstreams(ch.AsOf, now, func() bool { return c.state.catalog.Apply(changes, ch.AsOf, now) })
 }
 
-// takeList takes in what this daemon itself has read of the list of upstreams. take changes the
+// applyStoredUpstreams takes in what this daemon itself has read of the list of upstreams. take changes the
 // catalog and reports whether it did. What the catalog refuses, as news of a later position came first,
 // doesn't count as heard.
-func (c *Carrier) takeList(asOf objects.Position, now time.Time, take func() bool) {
+func (c *Carrier) applyStoredUpstreams(asOf objects.Position, now time.Time, take func() bool) {
 	c.mu.Lock()
 	var resets []cookie.Reset
-	if c.changeList(take) {
-		resets = c.follow(now)
+	if c.changeCatalog(take) {
+		resets = c.updateEngine(now)
 	}
-	if asOf >= c.known.catalog.AsOf {
+	if asOf >= c.state.catalog.AsOf {
 		c.confirmList(now)
 	}
-	c.readHere()
+	c.noteOwnRead()
 	c.mu.Unlock()
 	c.data.resets(resets)
 }
 
 // confirmList notes as of when the list of upstreams is known. c.mu is held.
 func (c *Carrier) confirmList(at time.Time) {
-	c.known.confirm(kindUpstreams, at)
+	c.state.confirm(kindUpstreams, at)
 	c.engine.Confirm(at)
-	c.noteReady()
+	c.signalIfReady()
 }
