--- a/internal/process/carrier/news.go
+++ b/internal/process/carrier/advertisement.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// advertisedSpan is how far back the changes in a news reach: three of its periods, so
-	// that two lost datagrams in a row cost nothing.
+	// advertisedSpan is how far back the changes in an advertisement reach: three of its periods,
+	// so that two consecutive lost datagrams do no harm.
 	advertisedSpan = 3 * sweepPeriod
-	// maxAdvertisedAge is how old the store's word may be for a daemon to pass it on.
+	// maxAdvertisedAge is the age of the store's content up to which a daemon sends it on.
 	maxAdvertisedAge = 1500 * time.Millisecond
 )
 
-// advertise tells the zone and the readers of other zones what this daemon knows of the
-// store, if it is one that reads.
+// advertise sends what this daemon holds of the store's content to its zone and to the store
+// readers of other zones, if this daemon is a store reader.
 func (m *members) advertise(now time.Time) {
 	v := m.view.Load()
 	m.c.mu.Lock()
@@ -28,12 +28,14 @@
 	}
 }
 
-// relayAdvertisement passes on what another daemon told: a zone's reader tells its zone what
-// another zone's told, and in a large zone each member tells its children, once.
+// relayAdvertisement relays what this daemon received from another one, origin. A zone's store
+// reader sends its zone what another zone's store reader advertised. In a large zone each member
+// relays to its children, once.
 func (m *members) relayAdvertisement(origin peer.ID, now time.Time) {
 	v := m.view.Load()
 	if v.ZoneReader() {
-		// One of the own zone stands in for this daemon and has told the others.
+		// An origin in the same zone stands in for this daemon and has sent the advertisement to
+		// the others.
 		if o := v.Member(origin); o != nil && o.Zone != m.c.cfg.Load().Zone {
 			m.sendAdvertisement(v.Self, v.Audience(true), now)
 		}
@@ -44,8 +46,8 @@
 	}
 }
 
-// shouldRelay reports whether this daemon knows more than it passed on before, and notes
-// what it knows as passed on.
+// shouldRelay reports whether this daemon holds more than it relayed before. If so, it records the
+// present state as relayed.
 func (c *Carrier) shouldRelay() bool {
 	version := c.inForce.Version()
 	c.mu.Lock()
@@ -61,7 +63,8 @@
 	return true
 }
 
-// sendAdvertisement sends what this daemon knows, if that is fresh.
+// sendAdvertisement sends what this daemon holds of the store's content, unless that is older than
+// maxAdvertisedAge.
 func (m *members) sendAdvertisement(origin peer.ID, to []*peer.Member, now time.Time) {
 	c := m.c
 	c.mu.Lock()
@@ -81,18 +84,19 @@
 		Evacuated:  peer.Evacuated(&c.state.evacuated.Stored),
 	}
 	c.mu.Unlock()
-	// Read after the age, so that a version isn't called newer than it is known to be.
+	// The version is read after the age, so that it isn't advertised as more recent than it is
+	// known to be.
 	n.Bundle = c.inForce.Version()
 	send(m, protocolAdvertisement, m.advertisements, n, to)
 }
 
-// receiveAdvertisement takes in what another daemon read in the store. If that doesn't lead to
-// what the sender knows, everything is fetched from it, and the news don't count as
-// heard.
+// receiveAdvertisement applies what another daemon read in the store. If the changes don't lead to
+// the sender's state, the sender's catalog is fetched, and the advertisement doesn't count as
+// received.
 func (m *members) receiveAdvertisement(from netip.AddrPort, n *peer.News, now time.Time) {
 	v := m.view.Load()
 	if n.From == v.Self {
-		return // This daemon's own word, which came back while others differ in who is there.
+		return // This daemon's own advertisement, relayed back while members' views differ.
 	}
 	as := now.Add(-n.Age)
 	c := m.c
@@ -100,7 +104,7 @@
 	c.mu.Lock()
 	if n.AsOf.Epoch() < c.state.epoch {
 		c.mu.Unlock()
-		return // The sender hasn't heard yet that the store was restored from a snapshot.
+		return // The sender doesn't know yet that the store was restored from a snapshot.
 	}
 	c.observeEpoch(n.AsOf, "News", now)
 	c.lastOrigin = n.From
@@ -133,8 +137,9 @@
 	m.relayAdvertisement(n.From, now)
 }
 
-// catalogAddress returns where to ask the daemon that sent news. Behind address translation the
-// datagram doesn't show it; then the one that the news are from is asked.
+// catalogAddress returns the RPC address of the daemon that sent an advertisement. Behind address
+// translation the datagram doesn't show it; then it is the address of the daemon from which the
+// advertisement originates.
 func catalogAddress(v *peer.View, from netip.AddrPort, origin peer.ID) netip.AddrPort {
 	if m := v.MemberAt(from.Addr()); m != nil {
 		return m.RPC
--- a/internal/process/carrier/bundle.go
+++ b/internal/process/carrier/bundle.go
@@ -10,9 +10,9 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// bundlesPosition returns the position from which the store's bundles are to be watched, zero if they
-// must be listed. A daemon that takes over from one that died holds the bundle already: on a thin
-// link a list of it takes longer than the take-over may.
+// bundlesPosition returns the position from which to watch the store's bundles, or zero if they
+// must be listed. A daemon that takes over from a failed reader holds the bundle already: on a slow
+// link, listing it takes longer than the take-over may.
 func (c *Carrier) bundlesPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +47,7 @@
 	})
 }
 
-// applyUpdate takes a bundle that another daemon told by what leads there.
+// applyUpdate puts a bundle in force that another daemon sent as an update from an earlier bundle.
 func (c *Carrier) applyUpdate(u *bundle.Update, from bundleSource) {
 	c.applyBundle(u.To, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		a, err := u.Apply(now)
@@ -58,8 +58,8 @@
 	})
 }
 
-// updateFrom returns what leads from the bundle in force to one that came as a whole, nil if there is
-// none in force.
+// updateFrom returns the update from the bundle in force to one received as a whole, or nil if
+// there is none in force.
 func updateFrom(now, to bundle.Accepted) *bundle.Update {
 	if now.Bundle == nil {
 		return nil
@@ -67,14 +67,14 @@
 	return bundle.Diff(now, to)
 }
 
-// bundleSource says where a bundle came from, for the log.
+// bundleSource describes where a bundle came from, for the log.
 type bundleSource struct {
 	source, name string
 	age          time.Duration
 }
 
-// applyBundle puts a bundle in force if it is newer than the present one. next makes it from that one,
-// with what leads from there, nil if there was none.
+// applyBundle puts a bundle in force if it is newer than the present one. next builds it from the
+// present one, and returns with it the update that leads there, or nil if there was no bundle.
 func (c *Carrier) applyBundle(
 	v bundle.Version, from bundleSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
 ) {
@@ -104,16 +104,17 @@
 		c.refuseBundle(v, from, err)
 		return
 	}
-	c.setNeedsWholeBundle(false) // What was told is in force, or something newer is.
+	c.setNeedsWholeBundle(false) // The received bundle or a newer one is in force.
 	if taken {
 		klog.InfoS("Bundle in force", "Version", v, "Source", from.source, "Name", from.name, "Age", from.age,
 			"Routes", routes, "Changed", changed)
 	}
 }
 
-// refuseBundle notes that a bundle can't be taken. If that is since changes don't lead to it, the
-// whole is asked for next: this daemon holds another bundle under the number that they lead on from,
-// as after the store was restored from a copy, and no change would ever lead on from that.
+// refuseBundle handles a bundle that can't be put in force. If the update doesn't apply to the
+// bundle in force, the whole bundle is requested next: this daemon then holds a different bundle
+// under the version number that the update starts from, as after the store was restored from a
+// copy, and no later update would ever apply.
 func (c *Carrier) refuseBundle(v bundle.Version, from bundleSource, err error) {
 	klog.ErrorS(err, "Bundle refused", "Version", v, "Source", from.source, "Name", from.name)
 	if eris.Is(err, bundle.ErrNotLedOn) {
@@ -127,14 +128,15 @@
 	c.state.needsWholeBundle = lacks
 }
 
-// bundleInForce returns the bundle in force, the zero value if there is none.
+// bundleInForce returns the bundle in force, or the zero value if there is none.
 func (c *Carrier) bundleInForce() bundle.Accepted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.history.Now()
 }
 
-// confirmBundle notes that this daemon itself has read which bundle is the newest, as of a position.
+// confirmBundle records that this daemon itself has read which bundle is the newest, as of a
+// position.
 func (c *Carrier) confirmBundle(at time.Time, asOf objects.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,8 +146,8 @@
 	c.noteOwnRead()
 }
 
-// confirmBundleAt notes as of when, and as of which position, the bundle in force is the newest.
-// c.mu is held.
+// confirmBundleAt records the time and position as of which the bundle in force is known to be the
+// newest. c.mu must be held.
 func (c *Carrier) confirmBundleAt(at time.Time, asOf objects.Position) {
 	c.state.confirm(kindBundles, at)
 	c.state.bundleAsOf = max(c.state.bundleAsOf, asOf)
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -21,18 +21,17 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// The periods at which the parts of a daemon look at the time.
+// Periods of the daemon's timers.
 const (
-	// tickPeriod is how often the process shows itself that it runs. It is much
-	// less than pauseLimit, also on a host that gets its processor by tenths of a
-	// second.
-	tickPeriod = 50 * time.Millisecond
-	memberTickPeriod  = 100 * time.Millisecond
-	sweepPeriod = 500 * time.Millisecond
-	// pauseLimit is how long the process may not run without being taken for
-	// paused. A shorter one would take a host whose share of a tenth of a second is
-	// used up for paused; callers repeat a first packet after 200 ms, and only
-	// copies that are older than the next one can do harm.
+	// tickPeriod is how often the process records that it is running. It is much shorter than
+	// pauseLimit, even on a host that is given its CPU share in slices of a tenth of a second.
+	tickPeriod       = 50 * time.Millisecond
+	memberTickPeriod = 100 * time.Millisecond
+	sweepPeriod      = 500 * time.Millisecond
+	// pauseLimit is how long the process may stand still before it is treated as paused. A shorter
+	// limit would treat a host that has used up its CPU share for a tenth of a second as paused.
+	// Callers retransmit a first packet after 200 ms, and only copies older than the next
+	// retransmission can do harm.
 	pauseLimit = 300 * time.Millisecond
 )
 
@@ -46,30 +45,30 @@
 	members  *members
 	probes   *probes
 	logs     *decisionLog
-	// answerSeconds and probeSeconds are the histograms of times in seconds.
+	// answerSeconds and probeSeconds are histograms of durations in seconds.
 	answerSeconds, probeSeconds metrics.Histogram
-	started          time.Time
-	leaving          atomic.Bool
-	start            *startup
-	// unusable counts stored objects that couldn't be used, each time they were read.
-	unusable  atomic.Uint64
-	departure departure
-	outdatedAnswers  outdatedCounts
+	started                     time.Time
+	leaving                     atomic.Bool
+	start                       *startup
+	// unusable counts stored objects that could not be used, once for each read.
+	unusable        atomic.Uint64
+	departure       departure
+	outdatedAnswers outdatedCounts
 
-	// mu guards what follows.
-	mu      sync.Mutex
-	engine  *cookie.Engine
+	// mu guards the fields below.
+	mu             sync.Mutex
+	engine         *cookie.Engine
 	warmupLimiters *peer.Warmers
-	election peer.Reading
-	state   storeState
-	// lastOrigin is the daemon whose news were heard last, passed the last news that this
-	// daemon passed on.
-	lastOrigin peer.ID
+	election       peer.Reading
+	state          storeState
+	// lastOrigin is the daemon from which the last received advertisement originates. lastRelayed
+	// summarizes the last advertisement that this daemon relayed.
+	lastOrigin  peer.ID
 	lastRelayed advertisementSummary
 }
 
-// New opens the sockets of a daemon and starts its parts. The clean-up function
-// ends them at once; Leave ends them gracefully before.
+// New opens the sockets of a daemon and starts its parts. The returned clean-up function stops them
+// immediately; call Leave before it for a graceful shutdown.
 func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Carrier, func(), error) {
 	c := &Carrier{
 		platform: p,
@@ -107,7 +106,7 @@
 	return stop, nil
 }
 
-// keys returns the secrets that daemons share.
+// keys returns the secrets shared by the daemons.
 func keys(cfg *settings.Cookie) peer.Keys {
 	k := peer.Keys{Seal: cfg.Secret}
 	if len(k.Seal) == 0 {
@@ -120,24 +119,23 @@
 	return k
 }
 
-// Ready reports whether routers should send packets here.
+// Ready reports whether routers should send packets to this daemon.
 func (c *Carrier) Ready() bool { return c.canPlaceFlows() && !c.leaving.Load() }
 
-// canPlaceFlows reports whether the daemon knows enough to place flows.
+// canPlaceFlows reports whether the daemon has the state that it needs to place flows.
 func (c *Carrier) canPlaceFlows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.canPlaceFlowsLocked()
 }
 
-// canPlaceFlowsLocked is placesFlows while c.mu is held. Without the evacuated zones no flow is placed: the first
-// ones would enter a zone that is being emptied.
+// canPlaceFlowsLocked is canPlaceFlows for callers that hold c.mu. No flow is placed before the
+// evacuated zones are known: the first flows could otherwise enter a zone that is being evacuated.
 func (c *Carrier) canPlaceFlowsLocked() bool {
 	return c.engine.Ready() && !c.state.confirmed[kindEvacuations].IsZero()
 }
 
-// signalIfReady lets those go on that wait for the daemon to know enough to place flows. c.mu is
-// held.
+// signalIfReady sets the ready event once the daemon can place flows. c.mu must be held.
 func (c *Carrier) signalIfReady() {
 	if c.canPlaceFlowsLocked() {
 		c.start.ready.set()
@@ -147,7 +145,7 @@
 // Version returns the version of the bundle in force, or zero.
 func (c *Carrier) Version() bundle.Version { return c.inForce.Version() }
 
-// Upstreams returns how many registered upstreams the daemon routes by.
+// Upstreams returns the number of registered upstreams in use.
 func (c *Carrier) Upstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +158,8 @@
 	return n
 }
 
-// AvailableUpstreams returns how many registered upstreams may get new flows, as far as their entries say.
+// AvailableUpstreams returns the number of registered upstreams that may get new flows according to
+// their store entries.
 func (c *Carrier) AvailableUpstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,14 +172,14 @@
 	return n
 }
 
-// Members returns how many daemons this one knows, itself among them.
+// Members returns the number of known daemons, including this one.
 func (c *Carrier) Members() int { return len(c.members.view.Load().Members) }
 
-// ReadsStore reports whether the daemon reads the store now.
+// ReadsStore reports whether the daemon currently reads the store.
 func (c *Carrier) ReadsStore() bool { return c.shouldReadStore(time.Now()) }
 
-// tick runs often: it notices pauses, sends due probes and lets doubts of the
-// store's list end.
+// tick runs every tickPeriod. It records that the process is running, expires held upstreams and
+// evacuations of a restored store, and sends the probes that are due.
 func (c *Carrier) tick(now time.Time) {
 	c.pauses.Seen(now)
 	c.mu.Lock()
@@ -191,7 +190,7 @@
 	c.probes.send(due)
 }
 
-// sweep forgets flows that went and tells the zone what this daemon counts.
+// sweep expires flows and sends this daemon's loads and advertisement.
 func (c *Carrier) sweep(now time.Time) {
 	c.mu.Lock()
 	c.warmupLimiters.See(c.members.view.Load(), now)
@@ -203,14 +202,15 @@
 	c.members.changes.sum(c.Members(), now)
 }
 
-// sendLoadsEagerly tells loads more often for a while after the start.
+// sendLoadsEagerly sends loads at a shorter period for a while after the start.
 func (c *Carrier) sendLoadsEagerly(now time.Time) {
 	if peer.TellsEagerly(now.Sub(c.started)) {
 		c.members.sendLoads(now)
 	}
 }
 
-// Leave serves on until routers have stopped sending packets here.
+// Leave announces that the daemon leaves, and goes on forwarding until routers have stopped sending
+// packets to it.
 func (c *Carrier) Leave() {
 	began := time.Now()
 	c.departure.begin(began, c.cfg.Load().LingerLimit())
@@ -224,7 +224,7 @@
 	klog.InfoS("Left", "Flows", c.flows(), "After", time.Since(began))
 }
 
-// checkReady answers a readiness check.
+// checkReady answers a readiness check, and counts the ones it refuses while leaving.
 func (c *Carrier) checkReady() bool {
 	if c.Ready() {
 		return true
@@ -239,8 +239,8 @@
 	return c.engine.Flows()
 }
 
-// Reload puts changed settings in force. Addresses are those of open sockets and
-// stay until the process is started again.
+// Reload puts changed settings in force. It refuses a change of the zone or of an address of an
+// open socket, which needs a restart.
 func (c *Carrier) Reload(cfg *settings.Cookie) {
 	old := c.cfg.Load()
 	if cfg.DataAddress != old.DataAddress || cfg.ControlAddress != old.ControlAddress || cfg.Zone != old.Zone {
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/carrier/carrier_test.go
@@ -23,8 +23,8 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// waitTimeout bounds what is awaited. It is far more than a test takes; how long it
-// took isn't judged.
+// waitTimeout bounds each wait for a condition. It is far more than a test takes; the duration
+// itself isn't checked.
 const waitTimeout = 30 * time.Second
 
 // node is a balancer in this process.
@@ -34,14 +34,14 @@
 	cfg  *settings.Cookie
 }
 
-// scope is what a test of either framework offers.
+// scope is the part of a test that both test frameworks offer.
 type scope interface {
 	Helper()
 	Fatal(args ...any)
 	Cleanup(f func())
 }
 
-// openWorld starts stand-ins that end with the test.
+// openWorld starts stand-ins that are stopped at the end of the test.
 func openWorld(t scope, o world.Options) *world.World {
 	t.Helper()
 	w, stop, err := world.New(context.Background(), o)
@@ -52,7 +52,7 @@
 	return w
 }
 
-// openNode starts a balancer that ends with the test.
+// openNode starts a balancer that is stopped at the end of the test.
 func openNode(t scope, w *world.World, h *world.Host) *node {
 	t.Helper()
 	cfg, err := settings.DecodeCookie(h.Name, []byte(w.Settings(h)))
@@ -103,8 +103,8 @@
 	}
 }
 
-var _ = Describe("Balancers by cookie", func() {
-	It("carry callers' flows, each answer to its own request", func() {
+var _ = Describe("Cookie balancers", func() {
+	It("forward callers' flows, with each answer going to its own request", func() {
 		w := newWorld(3)
 		startAll(w)
 		Eventually(w.Router.InRotation, waitTimeout).Should(Equal(3))
@@ -121,14 +121,14 @@
 		Expect(w.Finish()).To(BeEmpty())
 	})
 
-	// The daemon that reads the store for all loses its way there, without an
-	// error: its connection goes silent. A bundle that drops a service's route would
-	// reach the others only when the connection is back.
-	It("put a bundle in force though the reader is cut off from the store", func() {
+	// Guards against a bundle that drops a service's route but reaches the other daemons only after
+	// the reader's connection to the store is back. The reader's connection goes silent without an
+	// error.
+	It("put a bundle in force while the store reader is cut off from the store", func() {
 		w := newWorld(6)
 		nodes := startAll(w)
-		// Right after the start every daemon still reads; if all of them were cut off,
-		// nobody could know of the bundle. Then one reads for all zones.
+		// Right after the start every daemon still reads the store. If all of them were cut off,
+		// none could receive the bundle. Later a single one reads for all zones.
 		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 		for _, n := range nodes {
 			if n.ReadsStore() {
@@ -138,9 +138,9 @@
 		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
 	})
 
-	// All daemons of a zone lose the store at once, as when its switch fails towards
-	// the platform. They still hear the other zones.
-	It("put a bundle in force though a whole zone is cut off from the store", func() {
+	// All daemons of a zone lose the store together, as when the zone's switch loses its path to
+	// the platform. They still receive from the other zones.
+	It("put a bundle in force while a whole zone is cut off from the store", func() {
 		w := newWorld(6)
 		nodes := startAll(w)
 		cut := 0
@@ -151,14 +151,14 @@
 			}
 		}
 		Expect(cut).To(Equal(2))
-		// What daemons fetch once after their start must not help.
+		// The catalogs that daemons fetch once after their start must not help.
 		time.Sleep(carrier.JoinDuration)
 		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
 	})
 
-	// All hosts come back from a loss of power at once, and the store refuses what is
-	// over its rate. A host that lists anew after each refusal is never ready.
-	It("start though the store refuses most calls", func() {
+	// All hosts start together after a power loss, and the store refuses calls over its rate.
+	// Guards against a host that starts its list again after each refusal and is never ready.
+	It("become ready while the store refuses most calls", func() {
 		w := newWorld(3)
 		w.Store.SetTrouble(metadata.Trouble{ServeOneOf: 4})
 		for _, h := range w.Hosts {
@@ -168,10 +168,10 @@
 		}
 	})
 
-	// The store drops its history while it refuses what is over its rate. Who watches
-	// must list again; one that begins anew after each refusal would route by an old
-	// list for as long as that goes on.
-	It("list to the end though the store refuses most calls", func() {
+	// The store drops its history while it refuses calls over its rate. Daemons that watch must
+	// list again. Guards against a daemon that starts its list again after each refusal and routes
+	// by an old list meanwhile.
+	It("complete a list while the store refuses most calls", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
 		w.Store.SetTrouble(metadata.Trouble{ServeOneOf: 4, Deaf: true})
@@ -182,9 +182,9 @@
 		}
 	})
 
-	// A host starts and reads a copy of the store that lags. An upstream has left
-	// meanwhile and another has joined; flows to the first are never answered.
-	It("know what a lagging copy of the store lacks before they are ready", func() {
+	// A host starts and reads a lagging replica of the store. An upstream has departed meanwhile
+	// and another has joined. Guards against flows to the departed one, which are never answered.
+	It("have the changes that a lagging store replica lacks before they are ready", func() {
 		w := newWorld(3)
 		w.Store.Lag()
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
@@ -193,9 +193,9 @@
 		Expect(n.Upstreams()).To(Equal(13))
 	})
 
-	// The copy lags by more than the history that the store keeps. A host that listed
-	// from the copy again and again would never be ready.
-	It("start though the store dropped the history since its copy", func() {
+	// The replica lags by more than the history that the store keeps. Guards against a host that
+	// lists from the replica again and again and is never ready.
+	It("become ready when the store has no history back to its lagging replica", func() {
 		w := newWorld(3)
 		w.Store.Lag()
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
@@ -205,9 +205,9 @@
 		Expect(n.Upstreams()).To(Equal(13))
 	})
 
-	// One upstream registers itself with an entry that can't be used. If the whole list
-	// were refused, no flow of any service would be placed.
-	It("pass over an entry that can't be used", func() {
+	// One upstream registers itself with an invalid entry. Guards against refusing the whole list
+	// for it, so that no flow of any service would be placed.
+	It("skip an invalid entry", func() {
 		w := newWorld(3)
 		w.Store.Put(wire.KindServers, "i-0000000001", &wire.Server{Service: world.ServiceFeed})
 		n := startNode(w, w.Hosts[0])
@@ -218,8 +218,8 @@
 		Eventually(n.Upstreams, waitTimeout).Should(Equal(13))
 	})
 
-	// Another writer replaces upstreams' entries while the balancers run. Those that don't
-	// read the store hear of it from the one that does, and so does one that starts later.
+	// Another writer replaces upstreams' entries while the balancers run. Balancers that don't read
+	// the store receive the change from the one that does, and so does one that starts later.
 	It("place no new flow at an upstream whose entry was replaced, until it is back", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
@@ -237,16 +237,16 @@
 		late := startNode(w, h)
 		Eventually(late.Ready, waitTimeout).Should(BeTrue())
 		Expect(late.AvailableUpstreams()).To(Equal(1))
-		Eventually(late.Upstreams, waitTimeout).Should(Equal(12), "others tell it what was known before")
+		Eventually(late.Upstreams, waitTimeout).Should(Equal(12), "others send it the registrations known before")
 		restore()
 		for _, n := range append(nodes, late) {
 			Eventually(takes(n), waitTimeout).Should(Equal(12))
 		}
 	})
 
-	// Another writer left its own object under the name of the contacts. If nobody replaced
-	// it, a host whose seeds are gone would never find the others.
-	It("replace contacts that can't be used", func() {
+	// Another writer put its own object under the name of the contacts. If no balancer replaced it,
+	// a host whose seeds are removed would never find the others.
+	It("replace invalid contacts", func() {
 		w := newWorld(3)
 		startAll(w)
 		const kind, name = "fescueshed-contacts", "main"
@@ -254,13 +254,13 @@
 		Eventually(func() string { return w.Store.Content(kind, name) }, waitTimeout).Should(ContainSubstring("host-1"))
 	})
 
-	// All hosts of the settings' time were replaced, so the seeds of a new host name
-	// nobody. It would serve alone: read the store itself, know nobody's load, and hear
-	// of nothing while the store is away.
-	It("find each other though no seed is there any more", func() {
+	// All hosts that the settings name as seeds were replaced. Guards against a new host that stays
+	// alone: it would read the store itself, know no other daemon's load, and receive nothing while
+	// the store is down.
+	It("find each other when no seed exists any more", func() {
 		w := newWorld(3)
 		startAll(w)
-		time.Sleep(carrier.JoinDuration) // Then the reader keeps the contacts.
+		time.Sleep(carrier.JoinDuration) // From then on the store reader maintains the contacts.
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		h.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.9.9:9")}
@@ -268,10 +268,10 @@
 		Eventually(n.Members, waitTimeout).Should(Equal(4))
 	})
 
-	// A host starts while the store is away. When it is ready, it forwards first
-	// packets that waited in its socket, though their callers have opened the flows
-	// through other hosts meanwhile: a second upstream answers, and the flows break.
-	It("drop first packets that waited for long", func() {
+	// A host starts while the store is down. Guards against forwarding first packets that waited in
+	// its socket when it becomes ready: their callers have opened the flows through other hosts
+	// meanwhile, a second upstream answers, and the flows break.
+	It("drop first packets that waited too long", func() {
 		w := newWorld(3)
 		h := w.Hosts[0]
 		h.Proxy.Set(world.LinkReset)
@@ -290,9 +290,9 @@
 			ContainSubstring(`fescueshed_packets_dropped_total{cause="StaleOpen"} 1`))
 	})
 
-	// The store stops telling changes and then drops its history. Whoever waits on
-	// would keep the old bundle for as long as the watch waits.
-	It("put a bundle in force though the store's watches heard nothing of it", func() {
+	// The store stops sending events to watches and then drops its history. Guards against a daemon
+	// that keeps the old bundle for as long as its watch waits.
+	It("put a bundle in force when the store's watches missed it", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
 		w.Store.SetTrouble(metadata.Trouble{Deaf: true})
@@ -302,9 +302,9 @@
 		Eventually(inForce(nodes, v), waitTimeout).Should(BeTrue())
 	})
 
-	// A new host's keys were taken away at the store: it never gets an answer there,
-	// and routers would wait for it forever.
-	It("start from others if the store turns them away", func() {
+	// A new host's credentials for the store were revoked: it never gets an answer there. Guards
+	// against a host that never becomes ready, so that routers wait for it forever.
+	It("become ready by other balancers' catalogs if the store rejects them", func() {
 		w := newWorld(4)
 		w.Hosts[3].Proxy.Set(world.LinkReset)
 		nodes := make([]*node, 0, 3)
@@ -314,13 +314,13 @@
 		for _, n := range nodes {
 			Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		}
-		turnedAway := startNode(w, w.Hosts[3])
-		Eventually(turnedAway.Ready, waitTimeout).Should(BeTrue())
-		Expect(turnedAway.Upstreams()).To(Equal(nodes[0].Upstreams()))
-		Eventually(inForce([]*node{turnedAway}, w.Roll()), waitTimeout).Should(BeTrue())
+		rejected := startNode(w, w.Hosts[3])
+		Eventually(rejected.Ready, waitTimeout).Should(BeTrue())
+		Expect(rejected.Upstreams()).To(Equal(nodes[0].Upstreams()))
+		Eventually(inForce([]*node{rejected}, w.Roll()), waitTimeout).Should(BeTrue())
 	})
 
-	It("call the store no more often when there are more of them", func() {
+	It("don't call the store more often when there are more of them", func() {
 		callsWith := func(hosts int) int {
 			w := newWorld(hosts)
 			nodes := startAll(w)
@@ -329,8 +329,8 @@
 			time.Sleep(2 * time.Second)
 			return w.Store.Calls() - before
 		}
-		// A watch of each of three kinds that waits 800 ms: at most three of each begin in two seconds. A slower
-		// machine makes fewer calls, not more.
+		// One watch of each of three kinds, which waits 800 ms: at most three of each begin in two
+		// seconds. A slower machine makes fewer calls, not more.
 		const most = 3 * 3
 		Expect(callsWith(15)).To(BeNumerically("<=", most))
 	})
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -18,26 +18,27 @@
 )
 
 const (
-	// pullTimeout is how long the answer of another daemon that is asked for everything may take to
-	// begin.
+	// pullTimeout is how long another daemon may take to begin its answer to a request for its
+	// catalog.
 	pullTimeout = time.Second
-	// pullPause and urgentPause are the least times between two. A member that is told
-	// different lists by two readers would else fill the link of a small host.
+	// pullPause and urgentPause are the shortest pauses between two fetches. Without them, a member
+	// that receives different lists from two store readers would saturate the link of a small host.
 	pullPause   = 500 * time.Millisecond
 	urgentPause = 100 * time.Millisecond
-	// minJoinSlots is how many others that start are told everything at once by a small host, and
-	// toldByCore by one with a whole core. A list of 3000 upstreams is 150 KB; a hundred hosts that
-	// start together would fill a small host's link of 20 Mbit/s for seconds, and a large one has
-	// ten times as much. Those that are turned away ask again or read the store.
-	minJoinSlots    = 4
+	// minJoinSlots is how many starting daemons a small host serves a catalog to at the same time,
+	// and joinSlotsPerCore is how many a host with one whole core serves. A list of 3000 upstreams
+	// is 150 KB: a hundred hosts that start together would saturate a small host's link of 20
+	// Mbit/s for seconds. A large host has ten times that bandwidth. Daemons that are turned away
+	// ask again or read the store.
+	minJoinSlots     = 4
 	joinSlotsPerCore = 64
-	// codeBusy is the code of the error that says so, of those that JSON-RPC 2.0
+	// codeBusy is the error code for a daemon that is turned away, from the range that JSON-RPC 2.0
 	// leaves to the application.
 	codeBusy = 1
 )
 
-// pull fetches everything from another daemon, one at a time. A list that differs
-// can wait longer than a new bundle: the store's readers differ for moments.
+// pull fetches the catalog of another daemon in the background, one fetch at a time. A differing
+// list can wait longer than a new bundle: the store's readers differ for moments.
 func (m *members) pull(from netip.AddrPort, urgent bool) {
 	if !m.fetching.CompareAndSwap(false, true) {
 		return
@@ -55,8 +56,8 @@
 	})
 }
 
-// fetch asks another daemon for what this one lacks: a newer bundle, changed
-// upstreams, members, and upstreams that went.
+// fetch requests from another daemon what this one lacks: a newer bundle, changed upstreams,
+// members, and removed upstreams. timeout bounds the time until the answer begins.
 func (m *members) fetch(from netip.AddrPort, timeout time.Duration) error {
 	sent := time.Now()
 	c := m.c
@@ -98,8 +99,9 @@
 	return nil
 }
 
-// askCatalog asks another daemon for a catalog. An answer that stops in the middle is logged with how
-// much of it had come: that has to come once more, over a link that may be what stopped it.
+// askCatalog requests a catalog from another daemon. It logs an answer that breaks off with the
+// number of bytes received: they must be transferred once more, over a link that may have caused
+// the break.
 func (m *members) askCatalog(from netip.AddrPort, params peer.CatalogParams, timeout time.Duration) (*peer.Catalog, error) {
 	began := time.Now()
 	sealed, t, err := peer.CallRPC[[]byte](
@@ -115,7 +117,7 @@
 	return m.catalog.Decode(sealed)
 }
 
-// pullLines is how many lines a second tell of fetches that broke off.
+// pullLines is the limit of log lines per second about incomplete fetches.
 const pullLines = 2
 
 func (m *members) logIncomplete(from netip.AddrPort, got uint64, after time.Duration, err error) {
@@ -123,19 +125,19 @@
 	left, ok := m.pullLines.Allow(time.Now())
 	m.mu.Unlock()
 	if ok {
-		klog.InfoS("Catalog broke off", "From", from, "After", after, "Bytes", got, "Error", err.Error(), "LeftOut", left)
+		klog.InfoS("Catalog incomplete", "From", from, "After", after, "Bytes", got, "Error", err.Error(), "LeftOut", left)
 	}
 }
 
-// applyCatalog takes in a list that another daemon knew as of a time. It returns resets for
-// flows that ended by it.
+// applyCatalog applies a catalog that another daemon held as of a given time. It returns resets for
+// the flows that end by it.
 func (c *Carrier) applyCatalog(got *peer.Catalog, as, now time.Time) []cookie.Reset {
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.engine.LearnGone(got.Gone, now)
 	if got.AsOf.Epoch() < c.state.epoch {
-		return nil // It is of a store that is no longer.
+		return nil // The sender's content predates the restore of the store.
 	}
 	c.observeEpoch(got.AsOf, "Peer", now)
 	if got.Known {
@@ -160,8 +162,8 @@
 		resets = c.updateEngine(now)
 	}
 	resets = append(resets, c.applyHeldBack(&got.Held, now)...)
-	// Changes may not have led to the sender's list: entries of the same revision that
-	// only one of the two has. Then the whole list is asked for next.
+	// The changes may not lead to the sender's list, if only one of the two has some entries of the
+	// same revision. Then the whole list is requested next.
 	c.state.needsWholeList = got.Changed && got.Digest != c.state.catalog.Digest()
 	if c.state.needsWholeList {
 		return resets
@@ -173,8 +175,8 @@
 	return resets
 }
 
-// applyHeldBack takes over what another daemon goes by in place of what the store says. It returns resets for flows that
-// ended by it. c.mu is held.
+// applyHeldBack takes over the upstreams and zones that another daemon holds in place of the
+// store's content. It returns resets for the flows that end by it. c.mu must be held.
 func (c *Carrier) applyHeldBack(h *peer.HeldBack, now time.Time) []cookie.Reset {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.HoldBack(h.Zones, h.ZonesFor, now) {
@@ -218,7 +220,7 @@
 	return sealed, eris.Wrap(err, "catalog")
 }
 
-// membersFor returns the members that one which joins is told of.
+// membersFor returns the members to send to a joining daemon.
 func (m *members) membersFor(params *peer.CatalogParams) []peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -231,9 +233,9 @@
 	return nil
 }
 
-// catalogFor returns what this daemon knows and the asker doesn't, and what leads to the bundle in force
-// from the asker's, nil if it has that. The latter is yet to be packed: that takes too long for
-// packets to wait.
+// catalogFor returns what this daemon holds and the requester lacks, and the update from the
+// requester's bundle to the bundle in force, or nil if the requester has that already. The caller
+// packs the update after c.mu is released: packing takes too long for packets to wait.
 func (c *Carrier) catalogFor(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
 	now := time.Now()
 	c.mu.Lock()
--- a/internal/process/carrier/command.go
+++ b/internal/process/carrier/command.go
@@ -17,20 +17,19 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// Command runs a balancer that carries flows by cookie. Its fields are set by the command
-// line but for Connect.
+// Command runs a balancer that forwards flows by cookie. The command line sets its fields except
+// Connect.
 type Command struct {
-	Settings      string `help:"File of settings, JSON with comments." required:"" type:"path"`
-	PrintSettings bool   `help:"Print the settings with their defaults and end."`
-	// Connect returns how the daemon speaks to what is around it.
+	Settings      string `help:"Settings file, JSON with comments." required:"" type:"path"`
+	PrintSettings bool   `help:"Print the settings with their defaults and exit."`
+	// Connect returns the adapters by which the daemon communicates with the platform.
 	Connect func(store *objects.Caller) metadata.Platform `kong:"-"`
 }
 
-// settingsPeriod is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPeriod is how often the settings file is checked: it may change without a signal.
 const settingsPeriod = 2 * time.Second
 
-// Run runs a balancer that carries flows by cookie until a signal ends it.
+// Run runs a balancer that forwards flows by cookie until a signal ends it.
 func (c *Command) Run(ctx context.Context) error {
 	src, err := os.ReadFile(c.Settings)
 	if err != nil {
@@ -65,20 +64,20 @@
 	return nil
 }
 
-// signalsAfter bounds how long a daemon that isn't ready leaves signals to the system, which
-// ends it. Until it is ready it has nothing to drain, and making Go's runtime listen costs
-// a small host milliseconds while callers wait.
+// signalsAfter bounds how long a daemon that isn't ready leaves signals to their default action,
+// which ends the process. Until it is ready it has nothing to drain, and registering signal
+// handlers with Go's runtime costs a small host milliseconds while callers wait.
 const signalsAfter = 250 * time.Millisecond
 
-// awaitStart waits until the daemon is ready, or signalsAfter.
+// awaitStart waits until the daemon is ready, but at most signalsAfter.
 func (c *Carrier) awaitStart(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, signalsAfter)
 	defer cancel()
 	_ = c.awaitReady(ctx)
 }
 
-// watchSettings rereads the settings file on SIGHUP, and now and then without it,
-// until ctx ends. A file with findings is refused as a whole.
+// watchSettings rereads the settings file on SIGHUP and every settingsPeriod until ctx ends. A file
+// with findings is refused as a whole.
 func (c *Command) watchSettings(ctx context.Context, src []byte, d *Carrier) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/carrier/contacts.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// aloneDelay is when a daemon that knows no other one asks the store for contacts: the seeds
-	// had three chances to answer. Soon after, peer.Start.ReaderRank lets it follow the store as one
-	// that is alone, at some two calls a second. The pause to the next question doubles up to
-	// lonelyAtMost, since a system of a single host is alone for good.
-	aloneDelay  = 700 * time.Millisecond
+	// aloneDelay is how long a daemon that knows no other one waits before it reads the contacts in
+	// the store: the seeds had three chances to answer. Soon after, peer.Start.ReaderRank lets it
+	// follow the store as one that is alone, at some two calls a second. The pause before the next
+	// read doubles up to maxAloneDelay, since a system of a single host stays alone.
+	aloneDelay    = 700 * time.Millisecond
 	maxAloneDelay = time.Minute
-	// firstStartAloneDelay is the same at the first start of a system: nobody has written contacts, and
-	// nobody waits.
+	// firstStartAloneDelay replaces aloneDelay at the first start of a system: no contacts have
+	// been written yet, and no callers wait.
 	firstStartAloneDelay = 2 * time.Second
-	// contactsCheckPeriod is how often the reader looks whether the contacts in the store are
-	// out of date, by what it has read of them; contactsRead is how often it reads them
-	// again, so that two parts of the system that lost each other meet.
+	// contactsCheckPeriod is how often the store reader checks whether the contacts in the store
+	// are out of date, judged by what it has read of them. contactsReadPeriod is how often it reads
+	// them again, so that two parts of a split system find each other.
 	contactsCheckPeriod = 2 * time.Second
-	contactsReadPeriod   = 2 * time.Minute
+	contactsReadPeriod  = 2 * time.Minute
 )
 
-// contacts keeps the object in the store by which daemons find each other when their
-// seeds are out of date: seeds name three hosts of the time when the settings were made.
+// contacts maintains the object in the store by which daemons find each other when their seeds are
+// out of date: the seeds name three hosts that existed when the settings were written.
 type contacts struct {
 	c    *Carrier
 	cell objects.Cell[peer.Contacts]
-	// latest is what was read or written last, at a time, in an epoch of the store.
-	latest objects.Object[peer.Contacts]
-	latestAt    time.Time
-	epoch objects.Epoch
+	// latest is the object as read last. latestAt is the time at which it was read, epoch the epoch
+	// of the store then.
+	latest   objects.Object[peer.Contacts]
+	latestAt time.Time
+	epoch    objects.Epoch
 }
 
 func (c *Carrier) startContacts(ctx context.Context) (func(), error) {
@@ -76,13 +77,13 @@
 	}
 }
 
-// writes reports whether this daemon writes the contacts now: it is the reader of all and
-// started long enough ago to know the others.
+// writes reports whether this daemon maintains the contacts now: it is the store reader of the
+// whole system, and started long enough ago to know the other daemons.
 func (k *contacts) writes(now time.Time) bool {
 	return now.Sub(k.c.started) > JoinDuration && k.c.members.view.Load().ReaderRank() == 0 && k.c.shouldReadStore(now)
 }
 
-// findMembers asks the daemons that the contacts name, if there are any.
+// findMembers contacts the daemons that the contacts in the store name, if there are any.
 func (k *contacts) findMembers(ctx context.Context) {
 	if err := k.read(ctx); err != nil {
 		klog.InfoS("No contacts in the store", "Error", err.Error())
@@ -91,8 +92,8 @@
 	k.ping()
 }
 
-// read fetches the contacts. That there are none is no error for their keeper. What can't be
-// used counts as none that are there, so their keeper replaces it.
+// read fetches the contacts. Contacts that can't be decoded count as empty, so that the daemon that
+// maintains them replaces them.
 func (k *contacts) read(ctx context.Context) error {
 	o, err := k.cell.Get(ctx)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// ping asks those contacts that aren't members.
+// ping contacts the named daemons that aren't members.
 func (k *contacts) ping() {
 	k.c.members.update(func(g *peer.Membership) []peer.Envelope { return g.Seed(k.latest.Value.Addresses()) })
 }
@@ -114,7 +115,7 @@
 // refresh replaces the contacts in the store if they are out of date.
 func (k *contacts) refresh(ctx context.Context) {
 	if epoch := k.c.storeEpoch(); epoch != k.epoch {
-		// They may have been lost with the time since the snapshot.
+		// The contacts may be lost with the writes since the snapshot.
 		k.latestAt, k.epoch = time.Time{}, epoch
 	}
 	if k.latestAt.IsZero() || time.Since(k.latestAt) > contactsReadPeriod {
@@ -138,7 +139,7 @@
 	} else {
 		klog.InfoS("Contacts replaced", "Members", len(next.Members), "Revision", k.latest.Revision)
 	}
-	// The write may have taken effect without an answer, or another daemon may have
-	// written: the next look reads them anew.
+	// The write may have taken effect without an answer, or another daemon may have written: the
+	// next check reads the contacts again.
 	k.latestAt = time.Time{}
 }
--- a/internal/process/carrier/data.go
+++ b/internal/process/carrier/data.go
@@ -14,25 +14,25 @@
 	"github.com/fescueshed/fescueshed/internal/connection/cookie"
 )
 
-// data moves callers' packets to upstreams.
+// data forwards callers' packets to upstreams.
 type data struct {
 	c    *Carrier
 	conn *net.UDPConn
 	wg   sync.WaitGroup
-	// resetBuf is used by the reading goroutine only.
+	// resetBuf is used only by the goroutine that reads packets.
 	resetBuf []byte
 
 	received, sent, failed atomic.Uint64
 }
 
 const (
-	// maxPacketBytes is more than the largest packet, so that a longer one is seen
-	// to be too long instead of being cut off.
+	// maxPacketBytes is larger than the largest packet, so that a longer one is detected as too
+	// long instead of being truncated.
 	maxPacketBytes = 2048
-	// socketBufferBytes takes a second of a small host's packets.
+	// socketBufferBytes holds the packets that a small host gets in a second.
 	socketBufferBytes = 1 << 20
-	// maxFirstPacketWait is how long packets may wait for a daemon that isn't ready. Callers
-	// repeat a first packet after 200 ms, perhaps to another daemon.
+	// maxFirstPacketWait is how long first packets may wait for a daemon that isn't ready. Callers
+	// retransmit a first packet after 200 ms, perhaps to another daemon.
 	maxFirstPacketWait = 200 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "data: listen on %s", c.cfg.Load().DataAddress)
 	}
-	// A smaller buffer costs packets under bursts but nothing else.
+	// A smaller buffer loses packets under bursts but has no other effect.
 	_ = udp.SetReadBuffer(socketBufferBytes)
 	c.data = &data{c: c, conn: udp}
 	c.data.wg.Go(func() { c.data.run(ctx) })
@@ -62,7 +62,7 @@
 			return
 		}
 		if err != nil {
-			d.failed.Add(1) // Such as a port that an upstream closed; the next packet may pass.
+			d.failed.Add(1) // For example, an upstream closed its port. The next read may succeed.
 			continue
 		}
 		late, ok := d.await(ctx)
@@ -81,9 +81,9 @@
 	}
 }
 
-// await lets a packet that came wait until flows can be placed; those behind it wait in the
-// socket. The daemon learns by it that callers wait. It reports whether that took long, and false
-// if the daemon ends before.
+// await holds a received packet until flows can be placed; packets behind it wait in the socket. It
+// records that callers are waiting. late reports whether the wait was longer than
+// maxFirstPacketWait, and ok is false if the daemon ends before.
 func (d *data) await(ctx context.Context) (late, ok bool) {
 	if d.c.start.ready.isSet() {
 		return false, true
@@ -103,15 +103,14 @@
 	d.c.logs.paused()
 }
 
-// drainSocket handles what waited in the socket while the process couldn't read it.
-// First packets are dropped: their callers have sent copies meanwhile, and
-// perhaps a flow has opened by one of them. A second upstream would answer the
-// late one, the caller would repeat its cookie, and the flow's packets would go
-// to an upstream that resets them.
+// drainSocket handles the packets that waited in the socket while the process couldn't read it. It
+// drops first packets: their callers have sent copies meanwhile, and perhaps a flow has opened by
+// one of them. A second upstream would answer the late one, the caller would repeat that upstream's
+// cookie, and the flow's packets would go to an upstream that resets them.
 func (d *data) drainSocket(buf []byte) {
 	raw, err := d.conn.SyscallConn()
 	if err != nil {
-		return // The socket was closed; the next read says so.
+		return // The socket was closed; the next read reports it.
 	}
 	head := d.c.platform.Packets.Headroom()
 	for more := true; more; {
@@ -126,13 +125,13 @@
 			return true
 		})
 		if err != nil {
-			return // As above.
+			return // The socket was closed; the next read reports it.
 		}
 	}
 }
 
-// handle decides on a packet, which stands after the headroom, and sends it on.
-// waited says that it may have waited for long.
+// handle decides on a packet and forwards it. The packet in b begins after the headroom. waited
+// reports that it may have waited for long.
 func (d *data) handle(b []byte, now time.Time, waited bool) {
 	d.received.Add(1)
 	if d.c.leaving.Load() {
@@ -174,7 +173,7 @@
 	return buf
 }
 
-// resets sends resets that no packet brought about.
+// resets sends resets that are not answers to a packet.
 func (d *data) resets(list []cookie.Reset) {
 	if len(list) == 0 {
 		return
@@ -192,13 +191,13 @@
 
 func (d *data) write(b []byte, to netip.AddrPort) {
 	if _, err := d.conn.WriteToUDPAddrPort(b, to); err != nil {
-		d.failed.Add(1) // The caller repeats what was lost.
+		d.failed.Add(1) // The caller retransmits lost packets.
 		return
 	}
 	d.sent.Add(1)
 }
 
-// inputs returns what decisions rest on now. c.mu is held.
+// inputs returns what decisions are based on now. c.mu must be held.
 func (c *Carrier) inputs(now time.Time) inputs {
 	return inputs{bundle: c.engine.Version(), listAge: now.Sub(c.state.confirmed[kindUpstreams])}
 }
--- a/internal/process/carrier/data_test.go
+++ b/internal/process/carrier/data_test.go
@@ -27,11 +27,12 @@
 	return nil
 }
 
-var _ = Describe("A daemon that no caller has found yet", func() {
-	// A host is ready, but no packet has come. Its process stands still for seconds, first packets
-	// wait in its socket, and their callers open the flows through other hosts. If it forwards
-	// them when it goes on, second upstreams answer and the flows break.
-	It("drops first packets that waited while its process stood still", func() {
+var _ = Describe("A daemon that has received no packet yet", func() {
+	// A host is ready, but no packet has arrived. Its process is paused for seconds while first
+	// packets wait in its socket, and their callers open the flows through other hosts. Guards
+	// against forwarding the waiting packets afterwards: second upstreams answer and the flows
+	// break.
+	It("drops first packets that waited while its process was paused", func() {
 		udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 		Expect(err).NotTo(HaveOccurred())
 		now := time.Now()
@@ -53,7 +54,7 @@
 			_ = udp.Close()
 			c.data.wg.Wait()
 		})
-		// Nothing shows that the process runs meanwhile, so it counts as standing still.
+		// Nothing records that the process runs meanwhile, so it counts as paused.
 		time.Sleep(pauseLimit + 100*time.Millisecond)
 		from, err := net.Dial("udp4", udp.LocalAddr().String())
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/process/carrier/departure.go
+++ b/internal/process/carrier/departure.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// departure decides when a daemon that leaves may end: when the routers have stopped
-// sending to it. One that ended at once would lose the packets that they still send. It is safe for concurrent
-// use and has no clock.
+// departure decides when a leaving daemon may end: when the routers have stopped sending to it. A
+// daemon that ended immediately would lose the packets that they still send. departure is safe for
+// concurrent use and reads no clock.
 type departure struct {
 	mu sync.Mutex
-	// limit is how long the daemon serves on at most.
+	// limit is the longest time that the daemon goes on forwarding.
 	limit time.Duration
 	began time.Time
-	// refusals counts the readiness checks that were answered with "not ready",
-	// refused is when the one was that takes the daemon out of rotation.
-	refusals int
-	outOfRotation  time.Time
-	// lastPacket is when the last lastPacket of a caller came.
+	// refusals counts the readiness checks that were answered with "not ready". outOfRotation is
+	// the time of the one that takes the daemon out of rotation.
+	refusals      int
+	outOfRotation time.Time
+	// lastPacket is the time at which the last packet of a caller was received.
 	lastPacket time.Time
 }
 
 const (
-	// refusalsToLeaveRotation is how many failed readiness checks take a daemon out of
-	// rotation at the users' routers.
+	// refusalsToLeaveRotation is the number of failed readiness checks after which the users'
+	// routers take a daemon out of rotation.
 	refusalsToLeaveRotation = 2
-	// quietPeriod is how long no packet may come after that. Callers repeat what isn't
-	// acknowledged after 200 ms, so a router that still sends here shows it by then.
+	// quietPeriod is how long no packet may arrive after that. Callers retransmit after 200 ms what
+	// isn't acknowledged, so a router that still sends here is noticed within this time.
 	quietPeriod = 400 * time.Millisecond
-	// departurePoll is how often a leaving daemon looks whether it may end.
+	// departurePoll is how often a leaving daemon checks whether it may end.
 	departurePoll = 50 * time.Millisecond
 )
 
-// begin starts the departure. limit bounds it.
+// begin starts the departure, which lasts limit at most.
 func (d *departure) begin(now time.Time, limit time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// readinessRefused notes that a readiness check was answered with "not ready".
+// readinessRefused records that a readiness check was answered with "not ready".
 func (d *departure) readinessRefused(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// received notes when the last packet of a caller came.
+// received records that a packet of a caller was received at a given time.
 func (d *departure) received(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,10 +63,10 @@
 	}
 }
 
-// mayEnd reports whether the daemon may end. A fixed pause would be wrong both ways:
-// too long, and two hosts of a rolling restart are away at once, so that routers
-// that see fewer than half of a zone's hosts use all of them, also one that has just
-// ended; too short, and packets are lost that the routers still send here.
+// mayEnd reports whether the daemon may end. A fixed pause would be wrong both ways. If it is too
+// long, two hosts of a rolling restart are out of rotation at the same time, and routers that see
+// fewer than half of a zone's hosts use all of them, including one that has just ended. If it is
+// too short, packets are lost that the routers still send here.
 func (d *departure) mayEnd(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/process/carrier/departure_test.go
+++ b/internal/process/carrier/departure_test.go
@@ -7,10 +7,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// A rolling restart stops hosts one after the other. A host that serves on for a
-// fixed pause is still away when the next one leaves; routers then see fewer than half
-// of the zone's hosts and use all of them, and the packets for the one that has just
-// ended are lost. So a host ends as soon as routers have stopped sending, not before.
+// A rolling restart stops hosts one after the other. Guards against a host that leaves after a
+// fixed pause and is still out of rotation when the next one leaves: routers then see fewer than
+// half of the zone's hosts and use all of them, and packets for the host that has just ended are
+// lost. So a host ends as soon as routers have stopped sending to it, and not before.
 var _ = Describe("A departure", func() {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -20,13 +20,13 @@
 		return d
 	}
 
-	It("goes on while routers haven't noticed", func() {
+	It("goes on until routers have taken the daemon out of rotation", func() {
 		d := newDeparture()
 		d.readinessRefused(at(300))
 		Expect(d.mayEnd(at(2000))).To(BeFalse())
 	})
 
-	It("is over when they have and no packet came for a while", func() {
+	It("ends after the quiet period once the daemon is out of rotation", func() {
 		d := newDeparture()
 		d.readinessRefused(at(300))
 		d.readinessRefused(at(800))
@@ -34,7 +34,7 @@
 		Expect(d.mayEnd(at(1200))).To(BeTrue())
 	})
 
-	It("goes on while packets come", func() {
+	It("goes on while packets arrive", func() {
 		d := newDeparture()
 		d.readinessRefused(at(300))
 		d.readinessRefused(at(800))
@@ -43,7 +43,7 @@
 		Expect(d.mayEnd(at(2100))).To(BeTrue())
 	})
 
-	It("isn't put off by readiness checks that follow", func() {
+	It("isn't delayed by further readiness checks", func() {
 		d := newDeparture()
 		for ms := 300; ms <= 3300; ms += 500 {
 			d.readinessRefused(at(ms))
@@ -51,14 +51,14 @@
 		Expect(d.mayEnd(at(1200))).To(BeTrue())
 	})
 
-	It("is over at its limit in any case", func() {
+	It("ends at its limit in any case", func() {
 		d := newDeparture()
 		d.received(at(3990))
 		Expect(d.mayEnd(at(3999))).To(BeFalse())
 		Expect(d.mayEnd(at(4000))).To(BeTrue())
 	})
 
-	It("doesn't count checks from before it began", func() {
+	It("doesn't count readiness checks from before it began", func() {
 		d := &departure{}
 		d.readinessRefused(at(-500))
 		d.readinessRefused(at(-100))
--- a/internal/process/carrier/history.go
+++ b/internal/process/carrier/epoch.go
@@ -11,14 +11,15 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// outdatedCounts counts, by kind, answers of the store as of an earlier position than was known when it was asked.
-// It is safe for concurrent use.
+// outdatedCounts counts, by kind, answers of the store as of an earlier position than was known
+// when the call began. It is safe for concurrent use.
 type outdatedCounts [numKinds]atomic.Uint64
 
-// outdatedLines is how many lines a second tell of such answers of one kind.
+// outdatedLines is the limit of log lines per second about such answers of one kind.
 const outdatedLines = 2
 
-// observeEpoch notes the epoch of an answer of the store or of a message, and logs a later one than was known. c.mu is held.
+// observeEpoch records the epoch of an answer of the store or of a message, and logs a later one
+// than was known. c.mu must be held.
 func (c *Carrier) observeEpoch(asOf objects.Position, source string, now time.Time) {
 	before := c.state.epoch
 	if c.state.observeEpoch(asOf.Epoch(), now) {
@@ -26,8 +27,8 @@
 	}
 }
 
-// changeCatalog changes the catalog by a function, which reports whether it did, and logs what is held if that brings the
-// list of a store that was restored from a snapshot. c.mu is held.
+// changeCatalog runs change, which changes the catalog and reports whether it did. If the catalog
+// then holds the list of a restored store, changeCatalog logs the held entries. c.mu must be held.
 func (c *Carrier) changeCatalog(change func() bool) bool {
 	before := c.state.catalog.AsOf
 	changed := change()
@@ -39,8 +40,8 @@
 	return changed
 }
 
-// expireHeldUpstreams lets upstreams go that the store doesn't have any more, or has with an older content, once they were held
-// for long enough. c.mu is held.
+// expireHeldUpstreams releases upstreams that the store lacks or has with an older content since
+// its restore, once they have been held for long enough. c.mu must be held.
 func (c *Carrier) expireHeldUpstreams(now time.Time) {
 	older, missing := c.state.catalog.Held()
 	if !c.state.catalog.Expire(now) {
@@ -49,11 +50,11 @@
 	if o, m := c.state.catalog.Held(); o < older {
 		klog.InfoS("Held upstreams released", "Upstreams", older-o, "MissingGone", missing-m)
 	}
-	// Entries that are gone now end no flow by themselves: they are looked at first.
+	// Entries that are removed now end no flow by themselves: their upstreams are probed first.
 	_ = c.updateEngine(now)
 }
 
-// storeEpoch returns the latest epoch of the store that was heard of.
+// storeEpoch returns the latest known epoch of the store.
 func (c *Carrier) storeEpoch() objects.Epoch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,8 +68,8 @@
 	return c.state.position(k)
 }
 
-// checkAnswer returns ErrOutdated if the store answered as of an earlier position than was known when it was asked.
-// Taken in, such an answer would confirm that nothing else has changed.
+// checkAnswer returns ErrOutdated if the store answered as of an earlier position than was known
+// when the call began. Applying such an answer would confirm that nothing else has changed.
 func (f *follower[T]) checkAnswer(asOf, before objects.Position, now time.Time) error {
 	f.c.mu.Lock()
 	f.c.observeEpoch(asOf, "Store", now)
@@ -78,7 +79,7 @@
 	}
 	f.c.outdatedAnswers[f.kind].Add(1)
 	if left, ok := f.outdatedLimiter.Allow(now); ok {
-		klog.InfoS("Store's answer is outdated", "Kind", f.kind, "AsOf", asOf, "Known", before, "LeftOut", left)
+		klog.InfoS("Store answer is outdated", "Kind", f.kind, "AsOf", asOf, "Known", before, "LeftOut", left)
 	}
 	return eris.Wrapf(objects.ErrOutdated, "%v as of %v, known as of %v", f.kind, asOf, before)
 }
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/carrier/evacuation.go
@@ -28,12 +28,13 @@
 	c.applyStoredEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.After(changes, ch.AsOf) })
 }
 
-// evacuatedZone returns the zone that an object names. That it is there is the request, whatever it
-// holds: if one that can't be read counted for nothing, flows would enter a zone that somebody
-// is about to switch off.
+// evacuatedZone returns the zone that an object names. The object's existence is the request,
+// whatever its content is: if an object that can't be decoded were ignored, flows would enter a
+// zone that somebody is about to switch off.
 func evacuatedZone(o *objects.Object[bundle.Zone]) bundle.Zone { return bundle.Zone(o.Name) }
 
-// applyStoredEvacuations takes in what this daemon itself has read. next makes it from what it knew.
+// applyStoredEvacuations applies evacuations that this daemon itself has read from the store. next
+// builds the new state from the stored one.
 func (c *Carrier) applyStoredEvacuations(now time.Time, next func(*evacuation.Zones) evacuation.Zones) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +46,8 @@
 	c.noteOwnRead()
 }
 
-// applyEvacuations takes in evacuated zones unless a later position's are known. c.mu is held.
+// applyEvacuations applies evacuated zones unless those of a later position are held. c.mu must be
+// held.
 func (c *Carrier) applyEvacuations(z evacuation.Zones, from bundleSource, now time.Time) {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.Take(z, now) {
@@ -53,7 +55,8 @@
 	}
 }
 
-// expireEvacuations lets zones be used again that the store lacks since it was restored from a snapshot. c.mu is held.
+// expireEvacuations ends the evacuations that the store lacks since it was restored from a
+// snapshot, once they have been held for long enough. c.mu must be held.
 func (c *Carrier) expireEvacuations(now time.Time) {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.Expire(now) {
@@ -61,7 +64,8 @@
 	}
 }
 
-// enforceEvacuations puts evacuated zones in force in place of those before. c.mu is held.
+// enforceEvacuations makes the engine use the evacuated zones in force, and logs the differences
+// from before. c.mu must be held.
 func (c *Carrier) enforceEvacuations(before []bundle.Zone, from bundleSource, now time.Time) {
 	zones := c.state.evacuated.Zones()
 	if slices.Equal(zones, before) {
@@ -75,7 +79,7 @@
 	}
 	for _, zone := range before {
 		if !slices.Contains(zones, zone) {
-			c.logEvacuation("Zone taken back", zone, from)
+			c.logEvacuation("Zone evacuation ended", zone, from)
 		}
 	}
 }
@@ -85,13 +89,13 @@
 		"Age", from.age, "Flows", c.engine.FlowsIn(zone))
 }
 
-// confirmEvacuations notes as of when the evacuated zones are known. c.mu is held.
+// confirmEvacuations records the time as of which the evacuated zones are known. c.mu must be held.
 func (c *Carrier) confirmEvacuations(at time.Time) {
 	c.state.confirm(kindEvacuations, at)
 	c.signalIfReady()
 }
 
-// evacuationsPosition returns the position from which evacuations are to be watched, zero if they must be
+// evacuationsPosition returns the position from which to watch evacuations, or zero if they must be
 // listed.
 func (c *Carrier) evacuationsPosition() objects.Position {
 	c.mu.Lock()
@@ -102,15 +106,15 @@
 	return c.state.evacuated.Stored.AsOf
 }
 
-// Evacuated returns the zones that get no new flow here, in order.
+// Evacuated returns the zones that get no new flows from this daemon, in order.
 func (c *Carrier) Evacuated() []bundle.Zone {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.evacuated.Zones()
 }
 
-// evacuationStatus tells since when zones are evacuated here and how many flows are still open
-// there. c.mu is held.
+// evacuationStatus returns since when zones are evacuated on this daemon and how many of its flows
+// are still open there. c.mu must be held.
 func (c *Carrier) evacuationStatus() []status.EvacuationStatus {
 	zones := c.state.evacuated.Zones()
 	out := make([]status.EvacuationStatus, 0, len(zones))
--- a/internal/process/carrier/evacuation_test.go
+++ b/internal/process/carrier/evacuation_test.go
@@ -16,7 +16,7 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// evacuatedAt returns a condition: all these balancers hold exactly these zones as evacuated.
+// evacuatedAt returns a condition: all given balancers hold exactly the given zones as evacuated.
 func evacuatedAt(nodes []*node, zones ...bundle.Zone) func() bool {
 	return func() bool {
 		for _, n := range nodes {
@@ -28,10 +28,10 @@
 	}
 }
 
-// An operator asks that a zone be emptied. One balancer that doesn't hear of it goes on to send callers
-// there, and their flows break when the zone is switched off.
-var _ = Describe("Balancers of a system whose zones are evacuated", func() {
-	It("all stop sending new flows there, and begin again when it is taken back", func() {
+// An operator requests the evacuation of a zone. Guards against a balancer that misses the request
+// and goes on sending callers there: their flows break when the zone is switched off.
+var _ = Describe("Balancers of a system with evacuated zones", func() {
+	It("all stop sending new flows there, and resume when the evacuation ends", func() {
 		w := newWorld(6)
 		nodes := startAll(w)
 		w.Evacuate("zone-2")
@@ -58,8 +58,8 @@
 		Eventually(evacuatedAt(nodes), waitTimeout).Should(BeTrue())
 	})
 
-	// All of a small host's upstreams are in the zone, and the store doesn't tell it anything.
-	It("know it before they serve, though they can't ask the store", func() {
+	// The store doesn't answer a starting host at all.
+	It("know the evacuation before they are ready, from other balancers alone", func() {
 		w := newWorld(3)
 		startAll(w)
 		w.Evacuate("zone-3")
@@ -71,7 +71,7 @@
 		Eventually(n.Evacuated, waitTimeout).Should(Equal([]bundle.Zone{"zone-3"}))
 	})
 
-	It("know it before they serve, by the store alone", func() {
+	It("know the evacuation before they are ready, from the store alone", func() {
 		w := newWorld(1)
 		w.Evacuate("zone-3")
 		w.Hosts[0].Seeds = unusedSeeds
@@ -80,7 +80,7 @@
 		Expect(n.Evacuated()).To(Equal([]bundle.Zone{"zone-3"}))
 	})
 
-	It("learn it though the reader is cut off from the store", func() {
+	It("receive the evacuation while the store reader is cut off from the store", func() {
 		w := newWorld(6)
 		nodes := startAll(w)
 		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
@@ -93,7 +93,7 @@
 		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
 	})
 
-	It("learn it though a whole zone is cut off from the others", func() {
+	It("receive the evacuation while a whole zone is cut off from the others", func() {
 		w := newWorld(6)
 		nodes := startAll(w)
 		w.CutZone("zone-3", time.Minute)
@@ -101,7 +101,7 @@
 		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
 	})
 
-	It("learn it though the store's watches heard nothing of it and its history is gone", func() {
+	It("receive the evacuation when the store's watches missed it and its history is dropped", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
 		w.Store.SetTrouble(metadata.Trouble{Deaf: true})
@@ -111,7 +111,7 @@
 		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
 	})
 
-	It("keep it while the store is away, and tell it to those that start", func() {
+	It("keep the evacuation while the store is down, and send it to starting balancers", func() {
 		w := newWorld(4)
 		nodes := startAll(w)
 		w.Evacuate("zone-1")
@@ -124,9 +124,9 @@
 		Consistently(evacuatedAt(append(nodes, late), "zone-1"), time.Second).Should(BeTrue())
 	})
 
-	// Another writer leaves an entry that holds anything. Its name is what counts: a zone that somebody means
-	// to switch off mustn't get flows since a tool wrote the request in a form of its own.
-	It("go by an entry's name, whatever it holds", func() {
+	// Another writer leaves an entry with arbitrary content. Its name counts: a zone that somebody
+	// is about to switch off must not get flows because a tool wrote the request in another format.
+	It("use an entry's name, whatever its content", func() {
 		w := newWorld(1)
 		n := startNode(w, w.Hosts[0])
 		Eventually(n.Ready, waitTimeout).Should(BeTrue())
@@ -135,11 +135,11 @@
 		Eventually(n.Evacuated, waitTimeout).Should(Equal([]bundle.Zone{"no zone of ours", "zone-2"}))
 	})
 
-	// More zones than fit beside the changes in one datagram.
-	It("learn of more zones than news hold", func() {
+	// There are more zones than fit beside the changes in one datagram.
+	It("receive more zones than an advertisement holds", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		time.Sleep(carrier.JoinDuration) // Then one reads for all, and the others only hear of it.
+		time.Sleep(carrier.JoinDuration) // From then on one balancer reads for all, and the others receive its advertisements.
 		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 		const many = 20
 		zones := make([]bundle.Zone, 0, many)
--- a/internal/process/carrier/follower.go
+++ b/internal/process/carrier/follower.go
@@ -15,45 +15,47 @@
 )
 
 const (
-	// readCheckPeriod is how often a daemon that doesn't read looks whether it should.
+	// readCheckPeriod is how often a daemon that doesn't read the store checks whether it should.
 	readCheckPeriod = 100 * time.Millisecond
-	// batchPause lets further changes gather before the next watch: one call then
-	// brings many of them, and a storm of changes costs few calls.
+	// batchPause is the pause before the next watch after a change. Further changes accumulate
+	// meanwhile: one call then returns many of them, and a burst of changes costs few calls.
 	batchPause = 150 * time.Millisecond
 )
 
-// objectHandler is what a daemon does with a kind of objects that it reads.
+// objectHandler defines how a daemon handles one kind of objects that it reads.
 type objectHandler[T any] struct {
-	// list takes a whole list, changes what came after it. Both are told when the
-	// store answered.
+	// list applies a whole list, changes applies what changed after it. Both get the time at which
+	// the store answered.
 	list    func(objects.Snapshot[T], time.Time)
 	changes func(objects.Changes[T], time.Time)
-	// position returns the revision from which the kind is position by what others told, zero if it
-	// must be listed. It may be nil.
+	// position returns the position from which to watch the kind, by what other daemons sent, or
+	// zero if the kind must be listed. It may be nil.
 	position func() objects.Position
-	// long says that the kind may take many pages to list.
+	// long reports that a list of the kind may take many pages.
 	long bool
 }
 
-// follower keeps up with one kind of the store's objects.
+// follower follows one kind of the store's objects.
 type follower[T any] struct {
 	objectHandler[T]
 	c    *Carrier
 	kind kind
 	feed objects.Feed[T]
-	// failingSince is since when calls fail; zero if they don't.
+	// failingSince is the time since which calls fail, or zero if they don't.
 	failingSince time.Time
-	// listing is the list in progress, nil if there is none. fresh says that the next
-	// must not be a stale one.
+	// listing is the list in progress, or nil if there is none. fresh is set if the next list must
+	// not have stale pages.
 	listing *objects.Listing[T]
 	fresh   bool
-	// stalls counts watches that the store doesn't answer though it answers others.
+	// stalls counts watches that the store doesn't answer although it answers other calls.
 	stalls objects.Stalls
-	// starting says that the list was begun before the daemon could place flows.
+	// starting reports that the list was begun before the daemon could place flows.
 	starting bool
-	// positionBefore is the position as of which the kind was known when the list in progress was begun.
+	// positionBefore is the position as of which the kind was known when the list in progress was
+	// begun.
 	positionBefore objects.Position
-	// unusableLimiter bounds the unusableLimiter about objects that can't be used, outdatedLimiter those about outdatedLimiter answers.
+	// unusableLimiter limits log lines about objects that can't be used, outdatedLimiter those
+	// about outdated answers.
 	unusableLimiter, outdatedLimiter *logs.Limiter
 }
 
@@ -62,9 +64,10 @@
 }
 
 func (f *follower[T]) run(ctx context.Context) {
-	// Zero means that the kind is to be listed.
+	// Zero means that the kind must be listed.
 	var asOf objects.Position
-	// failures and lostHistories count failed calls, and histories that are lostHistories, in a row.
+	// failures and lostHistories count consecutive failed calls and consecutive answers that the
+	// history is no longer available.
 	failures, lostHistories := 0, 0
 	for ctx.Err() == nil {
 		if !f.c.shouldReadStore(time.Now()) {
@@ -86,19 +89,20 @@
 				sleep(ctx, batchPause)
 			}
 		case eris.Is(err, objects.ErrHistoryGone):
-			klog.InfoS("Store dropped its history", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
+			klog.InfoS("Store history is no longer available, listing instead", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
 			asOf, f.listing, f.fresh = 0, nil, true
 			if lostHistories > 0 {
-				// Those who answer are of different epochs.
+				// The store's members that answer are of different epochs.
 				f.pause(ctx, lostHistories)
 			}
 			lostHistories++
 		case asOf != 0 && f.shouldRelist(err, began):
-			klog.InfoS("Store can't be watched, it is listed", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
+			klog.InfoS("Store can't be watched, listing instead", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
 			asOf, f.listing, f.fresh = 0, nil, true
 		default:
 			if eris.Is(err, objects.ErrOutdated) {
-				// Once the store answers as of a later position, changes may be missing in between.
+				// When the store answers as of a later position again, changes in between may be
+				// missing.
 				asOf, f.fresh = 0, true
 			}
 			f.noteFailure(err)
@@ -108,13 +112,13 @@
 	}
 }
 
-// pause waits after so many failed calls in a row.
+// pause waits before the next call, by the number of consecutive failures.
 func (f *follower[T]) pause(ctx context.Context, failures int) {
 	sleep(ctx, peer.RetryPause(f.c.members.view.Load().ReaderRank(), failures, rand.Float64()))
 }
 
-// shouldRelist reports whether a watch that failed is to be given up for a list: it would bring too
-// much, or the store, which answers other calls, doesn't answer it.
+// shouldRelist reports whether to replace a failed watch by a list: the watch would return too
+// much, or the store doesn't answer it although it answers other calls.
 func (f *follower[T]) shouldRelist(err error, began time.Time) bool {
 	if eris.Is(err, objects.ErrTooLarge) {
 		return true
@@ -127,8 +131,9 @@
 	return f.stalls.Stalled(began, f.c.state.answered)
 }
 
-// step lists or watches once and takes in what that brings. A daemon that starts waits a little
-// after its list for the other kind's: once both are there, another may follow the store.
+// step lists or watches once and applies the result. It returns the position to go on from and
+// whether anything changed. A starting daemon waits a little after its list for those of the other
+// kinds: once all are there, another daemon may follow the store.
 func (f *follower[T]) step(ctx context.Context, asOf objects.Position) (objects.Position, bool, error) {
 	if asOf == 0 {
 		next, err := f.listAll(ctx)
@@ -151,11 +156,12 @@
 	return ch.AsOf, len(ch.List) > 0, nil
 }
 
-// listAll reads the whole list. A daemon that starts takes stale pages after the first, and
-// a watch that doesn't wait then brings what they lack: when all hosts come back from a loss
-// of power, fresh ones are more than the store allows: hosts times pages. Any other daemon takes fresh pages: a store that
-// drops its history is stale and deaf at once, and the list would be taken for complete
-// though it lacks seconds.
+// listAll reads the whole list. A starting daemon reads stale pages after the first one, and a
+// watch that doesn't wait then returns the changes that they lack. When all hosts start after a
+// power loss, fresh pages would exceed the store's limit, as their number is hosts times pages. Any
+// other daemon reads fresh pages: a store that has dropped its history may serve stale pages and
+// watches without events at the same time, and the list would count as complete although it lacks
+// seconds.
 func (f *follower[T]) listAll(ctx context.Context) (objects.Position, error) {
 	if f.listing == nil {
 		f.starting = !f.c.start.ready.isSet()
@@ -182,7 +188,7 @@
 	if f.listing.Lacks() {
 		ch, err := f.feed.Watch(ctx, s.AsOf, 0)
 		if eris.Is(err, objects.ErrTooLarge) {
-			// What changed since the oldest page grows only. A list of fresh pages lacks nothing.
+			// The changes since the oldest page only grow. A list of fresh pages lacks none.
 			f.listing, f.fresh = nil, true
 		}
 		if err != nil {
@@ -203,7 +209,8 @@
 	return late.AsOf, nil
 }
 
-// page reads the next page. A daemon that starts may give it up for another's word.
+// page reads the next page. A starting daemon may skip a large one if another daemon sends the list
+// meanwhile.
 func (f *follower[T]) page(ctx context.Context) (objects.Page[T], error) {
 	o := f.listing.Next()
 	if f.starting && f.position != nil {
@@ -212,14 +219,15 @@
 	return f.feed.List(ctx, o)
 }
 
-// receivedMeanwhile reports whether a member has told all while a daemon that starts was reading.
+// receivedMeanwhile reports whether a starting daemon has received a catalog from a member while it
+// was reading.
 func (f *follower[T]) receivedMeanwhile(ctx context.Context) bool {
 	return f.starting && f.position != nil && ctx.Err() == nil && f.c.start.ready.isSet()
 }
 
-// reportUnusable counts the objects that can't be used and writes lines for them, within
-// unusableLines: a writer that replaces thousands of entries would else fill the logs of
-// every daemon that reads.
+// reportUnusable counts objects that can't be used and logs them, at most unusableLines a second:
+// without the limit, a writer that replaces thousands of entries would fill the logs of every
+// daemon that reads the store.
 func (f *follower[T]) reportUnusable(findings []error, list []objects.Object[T]) {
 	for _, err := range findings {
 		f.unusable(err)
@@ -240,7 +248,7 @@
 	}
 }
 
-// unusableLines is how many lines a second tell of unusable objects of one kind.
+// unusableLines is the limit of log lines per second about unusable objects of one kind.
 const unusableLines = 5
 
 func (f *follower[T]) unusable(err error) {
@@ -250,8 +258,8 @@
 	}
 }
 
-// noteFailure notes that a call failed and asks a member of another zone: all of this one
-// may have lost the store while others reach it.
+// noteFailure records a failed call and fetches the catalog of a member in another zone: this whole
+// zone may have lost the store while other zones reach it.
 func (f *follower[T]) noteFailure(err error) {
 	if to := f.c.members.memberInOtherZone(); to.IsValid() {
 		f.c.members.pull(to, false)
@@ -264,8 +272,9 @@
 	}
 }
 
-// noteAnswer notes that the store answers. If it didn't for a while, to this daemon or
-// to those it heard of, its list may lack upstreams whose entries lapsed meanwhile.
+// noteAnswer records that the store answers. If the list of upstreams had not been confirmed for
+// outageAfter, by this daemon or by advertisements, it may lack upstreams whose entries expired
+// during the outage.
 func (f *follower[T]) noteAnswer() {
 	now := time.Now()
 	f.c.mu.Lock()
@@ -280,9 +289,9 @@
 	}
 }
 
-// outageAfter is how long the store's word may be missing before entries that are
-// gone then are doubted. Upstreams' entries lapse after three heartbeats, 3.6 s;
-// the take-over of a reader takes less than this.
+// outageAfter is how long confirmations from the store may be missing before entries that are
+// missing afterwards are suspect. Upstreams' entries expire after three heartbeats, 3.6 s. The
+// take-over of a failed store reader takes less than outageAfter.
 const outageAfter = 2800 * time.Millisecond
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/process/carrier/follower_test.go
+++ b/internal/process/carrier/follower_test.go
@@ -11,7 +11,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// busyFeed is a store that serves stale pages only at first, and has too many changes since them.
+// busyFeed is a store that serves only stale pages at first, and has too many changes since them.
 type busyFeed struct{ lists int }
 
 func (f *busyFeed) List(_ context.Context, o objects.ListOptions) (objects.Page[int], error) {
@@ -29,9 +29,10 @@
 	return objects.Changes[int]{}, objects.ErrTooLarge
 }
 
-// A daemon that starts while the store is busy has a list of stale pages, and what changed since is more
-// than an answer may have. It asks for just that again and again, and never serves.
-func TestFollowerListsAnewIfTooMuchChangedSinceStalePages(t *testing.T) {
+// A daemon that starts while the store is busy gets a list of stale pages, and the changes since
+// them exceed the limit of an answer. Guards against a daemon that requests just these changes
+// again and again, and never becomes ready.
+func TestFollowerRelistsAfterTooManyChangesSinceStalePages(t *testing.T) {
 	g := NewWithT(t)
 	var listed objects.Position
 	f := &follower[int]{
@@ -53,15 +54,16 @@
 	g.Expect(listed).To(BeEquivalentTo(9))
 }
 
-// All hosts come back from a loss of power to a large bundle. Each small one reads it from the store over its
-// thin link, where a larger member that came back before it tells a twentieth of the bytes.
-func TestFollowerHoldsAPageBackOnlyAtAStartAndIfOthersTellTheKind(t *testing.T) {
+// All hosts start after a power loss with a large bundle. Guards against small hosts that each read
+// it from the store over their slow links, while a larger member that started earlier would send it
+// in a twentieth of the bytes.
+func TestFollowerHoldsPageOnlyDuringStartAndIfOthersSendTheKind(t *testing.T) {
 	for name, tc := range map[string]struct {
-		ready, told, holds bool
+		ready, sentByOthers, holds bool
 	}{
-		"at a start":                           {told: true, holds: true},
-		"at a start, a kind that nobody tells": {},
-		"later":                                {ready: true, told: true},
+		"during the start": {sentByOthers: true, holds: true},
+		"during the start, a kind that other daemons don't send": {},
+		"after the start": {ready: true, sentByOthers: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -74,7 +76,7 @@
 					changes: func(objects.Changes[int], time.Time) {},
 				},
 			}
-			if tc.told {
+			if tc.sentByOthers {
 				f.position = func() objects.Position { return 0 }
 			}
 			if tc.ready {
@@ -87,7 +89,7 @@
 	}
 }
 
-// holdingFeed notes whether a page was asked for that may be held back.
+// holdingFeed records whether the last requested page may be held back.
 type holdingFeed struct {
 	busyFeed
 	held bool
--- a/internal/process/carrier/http.go
+++ b/internal/process/carrier/http.go
@@ -25,7 +25,7 @@
 }
 
 func (c *Carrier) startMetrics(ctx context.Context) (func(), error) {
-	// The set is made when it is first asked for: its fifty names take a small host some
+	// The set is created by the first request for it: its fifty names take a small host some
 	// milliseconds, while callers wait for it to start.
 	set := sync.OnceValue(c.metricSet)
 	mux := http.NewServeMux()
@@ -46,11 +46,11 @@
 		return nil, eris.Wrapf(err, "http: listen on %s", at)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = s.Serve(l) }() // It ends with the error that the server was closed.
+	go func() { _ = s.Serve(l) }() // Serve returns http.ErrServerClosed after Close.
 	return func() { _ = s.Close() }, nil
 }
 
-// metricSet names the counters by Prometheus conventions.
+// metricSet returns the metrics, named by Prometheus conventions.
 func (c *Carrier) metricSet() *metrics.Set {
 	s := metrics.NewSet()
 	count := func(name string, load func() uint64) {
@@ -106,16 +106,16 @@
 	return s
 }
 
-// countTransfers names the counters of what was fetched: what is wasted came and had to be thrown
-// away, since the rest of it didn't come in time.
+// countTransfers adds the counters of transfers. Wasted bytes were received and discarded, since
+// the rest of the transfer didn't arrive in time.
 func countTransfers(count func(string, func() uint64), name string, t *transfer.Counts) {
 	count(name+"_failed_total", t.Failed.Load)
 	count(name+"_bytes_total", t.Bytes.Load)
 	count(name+"_wasted_bytes_total", t.Wasted.Load)
 }
 
-// writeRequests writes evacuated zones and how requests ended by service, which are known only as they
-// come.
+// writeRequests writes the evacuated zones, and the numbers of requests by service and outcome.
+// Their labels are known only when they occur.
 func (c *Carrier) writeRequests(w io.Writer) {
 	s := c.Status()
 	status.WriteEvacuated(w, s.Evacuated)
@@ -128,13 +128,13 @@
 	}
 }
 
-// histogram is what metrics.Histogram offers to a writer of its values.
+// histogram is the part of metrics.Histogram that is needed to write its values.
 type histogram interface {
 	VisitNonZeroBuckets(f func(vmrange string, count uint64))
 }
 
-// writeHistograms writes the histograms, which live with what they measure, as the
-// library's own set would.
+// writeHistograms writes the histograms in the library's own format. They are fields of the things
+// that they measure, not members of a metrics.Set.
 func (c *Carrier) writeHistograms(w io.Writer) {
 	for name, h := range map[string]histogram{
 		"fescueshed_answer_seconds":     &c.answerSeconds,
--- a/internal/process/carrier/keys_test.go
+++ b/internal/process/carrier/keys_test.go
@@ -11,13 +11,13 @@
 	"github.com/fescueshed/fescueshed/internal/process/settings"
 )
 
-// dropped returns how many messages of others a balancer dropped.
+// dropped returns the number of messages from others that a balancer dropped.
 func (n *node) dropped() int {
 	GinkgoHelper()
 	return n.metric(GinkgoT(), "fescueshed_control_dropped_total")
 }
 
-// sendForgedAdvertisement sends a balancer news of one that doesn't exist.
+// sendForgedAdvertisement sends a balancer an advertisement from a balancer that doesn't exist.
 func sendForgedAdvertisement(n *node, k peer.Keys) {
 	GinkgoHelper()
 	forger, err := peer.NewNumbered[peer.News](k, peer.DomainNews)
@@ -31,16 +31,16 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// advertisementProtocol is the first byte of a datagram with news.
+// advertisementProtocol is the first byte of an advertisement's datagram.
 const advertisementProtocol = 2
 
 var _ = Describe("The secret of balancers", func() {
 	next := settings.Secret("the next secret of the world")
 
-	// Operators replace the secret host by host while the balancers serve. One that can't read
-	// the others' messages takes them for dead, reads the store itself, and is taken for
-	// dead by them.
-	It("is replaced while they run without a message that is lost", func() {
+	// Operators replace the secret host by host while the balancers run. Guards against a balancer
+	// that can't read the others' messages: it takes them for dead, reads the store itself, and is
+	// taken for dead by them.
+	It("is replaced while they run without losing a message", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
 		first := settings.Secret(nodes[0].cfg.Secret)
@@ -54,7 +54,7 @@
 				cfg := *n.cfg
 				cfg.Secret, cfg.AcceptedSecrets = step.seal, step.accept
 				n.Reload(&cfg)
-				time.Sleep(300 * time.Millisecond) // Messages go between those that are a step apart.
+				time.Sleep(300 * time.Millisecond) // Balancers that are one step apart exchange messages.
 			}
 			v := w.Roll()
 			Eventually(inForce(nodes, v), waitTimeout).Should(BeTrue())
@@ -64,12 +64,12 @@
 			Expect(n.dropped()).To(BeZero())
 		}
 		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: first})
-		Eventually(nodes[0].dropped, waitTimeout).Should(Equal(1), "the old secret is worth nothing any more")
+		Eventually(nodes[0].dropped, waitTimeout).Should(Equal(1), "the old secret is no longer accepted")
 	})
 
-	// Somebody on the control network sends news of a balancer that doesn't exist, sealed
-	// with a secret of their own.
-	It("keeps strangers' messages out", func() {
+	// Somebody on the control network sends an advertisement of a balancer that doesn't exist,
+	// sealed with another secret.
+	It("rejects messages of unknown peers", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
 		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: []byte("a secret of their own")})
--- a/internal/process/carrier/large_test.go
+++ b/internal/process/carrier/large_test.go
@@ -19,8 +19,8 @@
 const (
 	// manyRoutes make a bundle of some 600 KB in the store's form, as large as users have it.
 	manyRoutes = 4000
-	// slowLink carries that in three seconds. The users' smallest hosts have a link that carries six
-	// times as much, and callers' packets and other transfers on it.
+	// slowLink carries that in three seconds. The users' smallest hosts have a link that carries
+	// six times as much, but callers' packets and other transfers use it too.
 	slowLink world.BytesPerSecond = 200_000
 )
 
@@ -29,14 +29,15 @@
 	return openWorld(t, world.Options{Seed: 1, Hosts: hosts, Upstreams: 3})
 }
 
-// incompressibleWorld is a largeWorld whose bundle is as large between daemons as it is in the store.
+// incompressibleWorld is a largeWorld whose bundle is as large between daemons as it is in the
+// store.
 func incompressibleWorld(t *testing.T, hosts int) *world.World {
 	t.Helper()
 	return openWorld(t, world.Options{Seed: 1, Hosts: hosts, Upstreams: 3, UnlikeRoutes: true})
 }
 
 // largePair starts two daemons, of which the second is small and relies on the first, and waits
-// until what daemons fetch after their start is over.
+// until the fetches that follow a start are over.
 func largePair(t *testing.T, w *world.World) (large, small *node) {
 	t.Helper()
 	g := NewWithT(t)
@@ -51,7 +52,7 @@
 	return large, small
 }
 
-// metric returns a counter of a daemon.
+// metric returns the value of a counter of a daemon.
 func (n *node) metric(t scope, name string) int {
 	t.Helper()
 	resp, err := http.Get("http://" + n.cfg.MetricsAddress.String() + "/metrics")
@@ -74,12 +75,12 @@
 	return v
 }
 
-// Callers on small hosts are led by routes that an operator dropped ten seconds ago, and new routes
-// aren't served. The bundle has grown so that a thin link carries it in more time than a transfer was
-// given. Each transfer was given up shortly before its end and begun anew, from another daemon and
-// from the store at once, so that the two took the link from each other. The daemons' counts proved
-// it: they took in ten times the bundle, and nearly all of it was thrown away.
-func TestLargeBundleComesIntoForceBehindAThinLink(t *testing.T) {
+// Guards against a large bundle that never takes effect because a slow link carries it in more time
+// than a transfer is given. Each transfer was given up shortly before its end and started again,
+// from another daemon and from the store at the same time, so that the two shared the link. The
+// daemons received ten times the bundle's size and discarded nearly all of it; callers were routed
+// by routes dropped ten seconds ago, and new routes weren't served.
+func TestLargeBundleTakesEffectOverSlowLink(t *testing.T) {
 	g := NewWithT(t)
 	w := incompressibleWorld(t, 2)
 	large, small := largePair(t, w)
@@ -90,9 +91,9 @@
 	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
 }
 
-// All power was lost, and a small host that comes back finds nobody. It lists the large bundle,
-// gives the list up before it is there, and begins anew: it never serves again.
-func TestLargeBundleIsReadAtAStartBehindAThinLink(t *testing.T) {
+// Guards against a small host that, after a power loss of all hosts, lists the large bundle, gives
+// up before the list is complete, and starts again: it never becomes ready.
+func TestLargeBundleIsReadFromStoreAtStartOverSlowLink(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 1)
 	w.Grow(manyRoutes)
@@ -103,9 +104,10 @@
 	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
 }
 
-// A host is restarted while the others serve. What they tell takes its link longer than a member's
-// answer is waited for, and the store has no word for it: it stays out of service.
-func TestLargeBundleIsToldAtAStartBehindAThinLink(t *testing.T) {
+// A host is restarted while the others run. Guards against a host that stays out of service because
+// the catalog takes its link longer than the time-out for a member's answer, and the store doesn't
+// answer it.
+func TestLargeBundleIsFetchedFromMemberAtStartOverSlowLink(t *testing.T) {
 	g := NewWithT(t)
 	w := incompressibleWorld(t, 2)
 	w.Grow(manyRoutes)
@@ -119,11 +121,11 @@
 	g.Expect(small.Version()).To(Equal(v))
 }
 
-// The store was away for a while, and operators went on changing a large bundle. Its watch then
-// brings every version since, which is more than an answer may have. The same watch is asked for again
-// and again, and no bundle comes into force until the store forgets that history.
-// Where it isn't too much yet, a thin link carries versions that nobody needs.
-func TestLargeBundleComesIntoForceThoughAWatchWouldBringTooMany(t *testing.T) {
+// The store was down for a while, and operators went on changing a large bundle. A watch then
+// returns every version since, which exceeds the limit of an answer. Guards against repeating the
+// same watch, so that no bundle takes effect until the store drops that history. Below the limit, a
+// slow link would carry versions that nobody needs.
+func TestLargeBundleTakesEffectWhenWatchAnswerIsTooLarge(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 1)
 	w.Grow(manyRoutes)
@@ -132,7 +134,8 @@
 	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
 	const answers = "fescueshed_store_answers_bytes_total"
 	once := n.metric(t, answers)
-	// A daemon that has just started lists, whatever it knows; by then it follows by watches.
+	// A daemon that has just started lists, whatever it holds. After these calls it follows by
+	// watches.
 	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, waitTimeout).Should(BeNumerically(">=", 10))
 	w.Store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
 	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_refused_total") }, waitTimeout).Should(BeNumerically(">=", 2))
@@ -143,16 +146,16 @@
 	before := n.metric(t, answers)
 	w.Store.SetTrouble(metadata.Trouble{})
 	g.Eventually(n.Version, waitTimeout).Should(Equal(v))
-	g.Expect(n.metric(t, answers)-before).To(BeNumerically("<=", 2*once), "a list brings the bundle once")
+	g.Expect(n.metric(t, answers)-before).To(BeNumerically("<=", 2*once), "a list returns the bundle once")
 }
 
-// changeBytes is what a change may cost a daemon: 3 KB a second of control traffic and 23,000 changes
-// a day are the size to design for, which leaves 11 KB for one.
+// changeBytes bounds the bytes of one change for a daemon: the design limit is 3 KB a second of
+// control traffic and 23,000 changes a day, which leaves 11 KB for each.
 const changeBytes = 11_000
 
-// A change of one route is told to every daemon with all the routes that didn't change. At the size to
-// design for that alone is a hundred times the control traffic that a daemon may have.
-func TestLargeBundleIsToldByWhatChanged(t *testing.T) {
+// Guards against sending every daemon all unchanged routes with a change of one route. At the
+// design size that alone is a hundred times the control traffic that a daemon may have.
+func TestLargeBundleIsSentAsUpdate(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 2)
 	w.Grow(manyRoutes)
@@ -166,10 +169,10 @@
 	g.Expect(after - before).To(BeNumerically("<=", changeBytes))
 }
 
-// The daemon that reads the store dies, and all that take over list the large bundle that they have in
-// force, for no more than the revision to go on from. On thin links that takes longer than the
+// The store reader fails. Guards against daemons that take over and list the large bundle that they
+// have in force, only to get the revision to watch from. On slow links that takes longer than the
 // take-over may.
-func TestLargeBundleIsNotListedAgainByWhoTakesOver(t *testing.T) {
+func TestLargeBundleIsNotRelistedOnReaderTakeover(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 2)
 	w.Grow(manyRoutes)
@@ -184,10 +187,11 @@
 	g.Expect(small.metric(t, "fescueshed_store_answers_bytes_total") - before).To(BeNumerically("<=", changeBytes))
 }
 
-// The store was restored from a copy, and operators use a version's number a second time for another
-// bundle. A daemon that holds the first is told what changed since the second, which makes a mixture of
-// both: it serves routes that nobody wrote together, or refuses each later version.
-func TestBundleUnderANumberThatIsUsedTwiceIsToldAsAWhole(t *testing.T) {
+// The store was restored from a copy, and operators use a version number a second time for another
+// bundle. Guards against sending a daemon that holds the first one the changes since the second:
+// the result is a mixture of both, so the daemon serves routes that nobody wrote together, or it
+// refuses each later version.
+func TestBundleWithReusedVersionIsSentWhole(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 2)
 	w.Grow(manyRoutes)
@@ -198,7 +202,7 @@
 	w.Hosts[1].Proxy.Set(world.LinkSilent)
 	w.Grow(5)
 	w.Rewrite()
-	w.Hosts[0].Seeds = unusedSeeds // It reads the store before it meets the other.
+	w.Hosts[0].Seeds = unusedSeeds // It reads the store before it knows the other daemon.
 	large := openNode(t, w, w.Hosts[0])
 	g.Eventually(large.Ready, waitTimeout).Should(BeTrue())
 	g.Expect(large.Version()).To(Equal(small.Version()))
@@ -211,14 +215,14 @@
 	before := small.metric(t, "fescueshed_catalogs_bytes_total")
 	v = w.Roll()
 	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
-	told := small.metric(t, "fescueshed_catalogs_bytes_total") - before
-	g.Expect(told).To(BeNumerically("<=", changeBytes), "then it is told by changes again")
+	received := small.metric(t, "fescueshed_catalogs_bytes_total") - before
+	g.Expect(received).To(BeNumerically("<=", changeBytes), "later bundles are sent as updates again")
 }
 
-// The store takes two seconds to put the answer of a watch together, as it may for many large versions. A
-// watch is given up after its wait and 0.7 s, and the same is asked for again, which takes as long: no
-// later bundle comes into force until the store forgets that history. A list would be answered.
-func TestLargeBundleComesIntoForceThoughAWatchIsAnsweredLate(t *testing.T) {
+// The store takes two seconds to assemble the answer of a watch, as it may for many large versions.
+// A watch is given up after its wait and 0.7 s. Guards against repeating it, which takes as long:
+// no later bundle would take effect until the store drops that history. A list would be answered.
+func TestLargeBundleTakesEffectWhenWatchAnswersLate(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 1)
 	n := openNode(t, w, w.Hosts[0])
--- a/internal/process/carrier/loads.go
+++ b/internal/process/carrier/loads.go
@@ -11,14 +11,14 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// zoneLoads sums up what this daemon and its children count at upstreams, which at the
-// zone's reader is the whole zone. Each member sends one report to its parent and gets
-// one sum, so the cost of a member doesn't grow with their number. It is safe for
-// concurrent use.
+// zoneLoads sums up what this daemon and its children in the report tree count at upstreams. At the
+// zone's store reader, which is the root, the sum covers the whole zone. Each member sends one
+// report to its parent and receives one sum, so the cost of a member doesn't grow with the number
+// of members. zoneLoads is safe for concurrent use.
 type zoneLoads struct {
-	mu   sync.Mutex
+	mu      sync.Mutex
 	reports map[peer.ID]receivedReport
-	// zoneReports are the loads of other zones, by the daemon that told them.
+	// zoneReports holds the loads of other zones, by the daemon that sent them.
 	zoneReports map[peer.ID]receivedZoneReport
 }
 
@@ -35,9 +35,9 @@
 const (
 	// reportTTL is how long a report counts: four of its periods.
 	reportTTL = 4 * sweepPeriod
-	// zoneReportTTL is how long the word of another zone counts: two of its periods and the
-	// way. A zone that is cut off is silent, and each new flow that goes there meanwhile is lost
-	// for 200 ms.
+	// zoneReportTTL is how long the loads of another zone count: two of their periods and the
+	// transit time. A zone that is cut off sends nothing, and each new flow that is sent there
+	// meanwhile is lost for 200 ms.
 	zoneReportTTL = 2*sweepPeriod + 100*time.Millisecond
 )
 
@@ -57,7 +57,7 @@
 	z.zoneReports[r.From] = receivedZoneReport{at: now, zones: r.Zones}
 }
 
-// zones returns the loads of other zones of the last while.
+// zones returns the loads of other zones received within zoneReportTTL.
 func (z *zoneLoads) zones(now time.Time) []peer.ZoneLoad {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -72,11 +72,11 @@
 	return out[:min(len(out), peer.MaxZones)]
 }
 
-// sum returns this daemon's last report and those of its children added up, the busiest
-// upstreams first. Reports of others are left out: they were sent here while this daemon
-// was taken for their parent, and the parent that they have now counts them too. A zone
-// whose reader is cut off one way, and comes and goes in the others' view, would else
-// seem twice as busy as it is, and send its flows to other zones.
+// sum returns the sum of this daemon's last report and those of its children, the busiest upstreams
+// first. Reports of other members are left out: they were sent here while this daemon was taken for
+// their parent, and their present parent counts them too. Otherwise, a zone whose store reader is
+// cut off in one direction, and is seen alive and dead alternately by the others, would seem twice
+// as loaded as it is, and would send its flows to other zones.
 func (z *zoneLoads) sum(self peer.ID, children []*peer.Member, now time.Time) *peer.Report {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -93,8 +93,9 @@
 	return peer.SumReports(self, reports)
 }
 
-// sendLoads sends what this daemon and its children count to its parent, or the sum to
-// all if it reads for the zone, and the zone's load to the readers of others.
+// sendLoads sends the counts of this daemon and its children to its parent. A daemon that is its
+// zone's store reader instead sends the sum to its whole zone, and the zone's load to the store
+// readers of other zones.
 func (m *members) sendLoads(now time.Time) {
 	v := m.view.Load()
 	m.loads.putReport(m.c.ownReport(v.Self), now)
@@ -126,7 +127,7 @@
 func (m *members) receiveReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
 	if r.StoreLost && m.c.noteStoreLost(now) && !r.Sum {
-		m.sendLoads(now) // Its own zone waits for it.
+		m.sendLoads(now) // Its own zone needs this report.
 	}
 	switch {
 	case r.Found:
@@ -142,21 +143,21 @@
 	}
 }
 
-// relayReport sends a report on to this daemon's children, once.
+// relayReport relays a report to the given members, once.
 func (m *members) relayReport(r *peer.Report, to []*peer.Member, now time.Time) {
 	if len(to) > 0 && m.relayed.isNew(r.From, r.Stamp, now) {
 		send(m, protocolReport, m.reports, r, to)
 	}
 }
 
-// ownReport returns what this daemon counts.
+// ownReport returns what this daemon counts at upstreams.
 func (c *Carrier) ownReport(self peer.ID) *peer.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engine.Report(self)
 }
 
-// applyLoads takes in the zone's sum.
+// applyLoads applies the sum of the zone's loads.
 func (c *Carrier) applyLoads(r *peer.Report, now time.Time) {
 	c.mu.Lock()
 	ejected := c.engine.TakeSum(r, now)
@@ -166,16 +167,16 @@
 	}
 }
 
-// announceDead tells the zone at once of upstreams that were found dead: the others
-// would find out by requests that fail. It tells as many as one message holds: where more fall silent together, the
-// others have found some by themselves.
+// announceDead immediately announces to the zone the upstreams that this daemon found dead; the
+// other daemons would otherwise detect it by failing requests. It announces as many as one message
+// holds: where more fail together, the others have detected some themselves.
 func (m *members) announceDead(ids []bundle.UpstreamID) {
 	v := m.view.Load()
 	r := &peer.Report{From: v.Self, Found: true, Dead: ids[:min(len(ids), peer.MaxDead)], Stamp: m.stamp.Add(1)}
 	send(m, protocolReport, m.reports, r, v.Audience(true))
 }
 
-// probeSuspects has upstreams looked at that another daemon found dead.
+// probeSuspects probes upstreams that another daemon found dead.
 func (c *Carrier) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
 	c.mu.Lock()
 	for _, id := range ids {
--- a/internal/process/carrier/log.go
+++ b/internal/process/carrier/log.go
@@ -12,8 +12,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// decisionLog writes a line for each decision that begins or ends a flow, or loses
-// a packet, bounded for each cause. It is safe for concurrent use.
+// decisionLog logs each decision that begins or ends a flow or loses a packet, with a rate limit
+// for each cause. It is safe for concurrent use.
 type decisionLog struct {
 	mu       sync.Mutex
 	limiters [cookie.NumCauses]*logs.Limiter
@@ -28,15 +28,14 @@
 	return l
 }
 
-// inputs are what a decision rested on.
+// inputs are what a decision was based on.
 type inputs struct {
 	bundle bundle.Version
-	// listAge is how long ago the list of upstreams was last known to be complete.
+	// listAge is the time since the list of upstreams was last known to be complete.
 	listAge time.Duration
 }
 
-// decided writes the line of one packet's decision. Packets of established flows
-// that are forwarded decide nothing and write none.
+// decided logs the decision on one packet. Forwarding a packet of an established flow isn't logged.
 func (l *decisionLog) decided(p *cookie.Packet, v *cookie.Verdict, in inputs, now time.Time) {
 	if v.Action == cookie.ActionForward && v.Cause == cookie.CauseNone {
 		return
@@ -56,7 +55,7 @@
 	klog.InfoS(actionLines[v.Action], appendRoute(kv, route, left)...)
 }
 
-// reset writes the line of a reset that no packet brought about.
+// reset logs a reset that is not an answer to a packet.
 func (l *decisionLog) reset(r *cookie.Reset, in inputs, now time.Time) {
 	left, ok := l.allow(r.Cause, now)
 	if !ok {
--- a/internal/process/carrier/memberlog.go
+++ b/internal/process/carrier/memberlog.go
@@ -13,16 +13,16 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// memberLog writes lines about members that came, went or changed: one for each while they
-// are few, and one a zone and second for the rest. When 195 hosts start or are restarted in
-// turns, one line each on every host is 38,000, and their time is taken from callers who wait
-// for small hosts. It is safe for concurrent use.
+// memberLog logs members that join, depart or change. Up to memberLines a second get a line of
+// their own, the others are summed up in one line per zone and second. When 195 hosts start or are
+// restarted in turns, one line for each on every host would be 38,000 lines, and the time to write
+// them would be taken from callers that wait for small hosts. memberLog is safe for concurrent use.
 type memberLog struct {
 	mu      sync.Mutex
 	limiter *logs.Limiter
-	// summaries sums up what has no line of its own.
-	summaries    map[bundle.Zone]memberChanges
-	written time.Time
+	// summaries counts the changes that have no line of their own.
+	summaries map[bundle.Zone]memberChanges
+	written   time.Time
 }
 
 // memberChanges counts the changes of a zone's members.
@@ -31,10 +31,10 @@
 }
 
 const (
-	// memberLines is how many members have a line of their own in a second: more than the hosts
-	// that fail or are replaced one by one.
+	// memberLines is how many members get a line of their own in a second: more than the hosts that
+	// fail or are replaced one by one.
 	memberLines = 5
-	// memberSumPeriod is how often the rest is summed up.
+	// memberSumPeriod is how often the summaries are logged.
 	memberSumPeriod = time.Second
 )
 
@@ -42,7 +42,7 @@
 	return &memberLog{limiter: logs.NewLimiter(memberLines), summaries: make(map[bundle.Zone]memberChanges)}
 }
 
-// changed tells of the differences of two views.
+// changed logs the differences of two views.
 func (l *memberLog) changed(old, view *peer.View, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 	for i := range old.Members {
 		v := &old.Members[i]
-		if view.Member(v.ID) != nil || l.line("Member is no longer there", v, view, now) {
+		if view.Member(v.ID) != nil || l.line("Member departed", v, view, now) {
 			continue
 		}
 		sum := l.summaries[v.Zone]
@@ -71,7 +71,7 @@
 	}
 }
 
-// line writes the line of one member, if it may have one.
+// line logs one member, unless the limit is reached. It reports whether it did.
 func (l *memberLog) line(text string, m *peer.Member, view *peer.View, now time.Time) bool {
 	if _, ok := l.limiter.Allow(now); !ok {
 		return false
@@ -80,7 +80,7 @@
 	return true
 }
 
-// sum writes the lines of the rest, if it is time.
+// sum logs the summaries once memberSumPeriod has passed.
 func (l *memberLog) sum(members int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/process/carrier/members.go
+++ b/internal/process/carrier/members.go
@@ -27,55 +27,55 @@
 	protocolReport
 )
 
-// members speaks to the other daemons.
+// members communicates with the other daemons.
 type members struct {
-	c       *Carrier
-	ctx     context.Context
-	ports   *udpport.Ports
-	swim    *peer.Numbered[peer.Message, *peer.Message]
-	advertisements    *peer.Numbered[peer.News, *peer.News]
-	reports *peer.Numbered[peer.Report, *peer.Report]
-	catalog *peer.Codec[peer.Catalog, *peer.Catalog]
-	loads   *zoneLoads
-	changes   *memberLog
-	wg      sync.WaitGroup
-	// stamp is that of the last report which others pass on, passed are those of theirs.
-	stamp  atomic.Uint64
+	c              *Carrier
+	ctx            context.Context
+	ports          *udpport.Ports
+	swim           *peer.Numbered[peer.Message, *peer.Message]
+	advertisements *peer.Numbered[peer.News, *peer.News]
+	reports        *peer.Numbered[peer.Report, *peer.Report]
+	catalog        *peer.Codec[peer.Catalog, *peer.Catalog]
+	loads          *zoneLoads
+	changes        *memberLog
+	wg             sync.WaitGroup
+	// stamp is the stamp of the last report that others relay, relayed are the stamps of their
+	// reports that this daemon relayed.
+	stamp   atomic.Uint64
 	relayed *relayedStamps
 
-	// view is what is known of the members.
+	// view is the present view of the members.
 	view atomic.Pointer[peer.View]
-	// fetching is set while everything is fetched from another daemon.
+	// fetching is set while a catalog is fetched from another daemon.
 	fetching atomic.Bool
-	// joinSlots bounds how many others are told everything at once.
+	// joinSlots limits how many joining daemons are served a catalog at the same time.
 	joinSlots chan struct{}
 
-	// firstMemberMet is told when a daemon that knew no other one knows some.
+	// firstMemberMet receives a value when a daemon that knew no other one knows some.
 	firstMemberMet chan struct{}
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	group    *peer.Membership
 	epoch    uint64
 	nextSeed time.Time
-	// seedPeriod is the pause after the next question to the seeds.
+	// seedPeriod is the pause after the next request to the seeds.
 	seedPeriod time.Duration
 
 	received, sent, receivedBytes, sentBytes, dropped atomic.Uint64
-	// pulls counts what was fetched from other daemons. pullLines bounds the lines about fetches
-	// that failed.
+	// pulls counts fetches from other daemons. pullLines limits the log lines about failed fetches.
 	pulls     transfer.Counts
 	packer    peer.Packer
 	pullLines *logs.Limiter
 }
 
-// The periods at which the seeds are asked. Each daemon asks often at first, until it knows
-// another one, and each time after twice as long: a thousand hosts that start together take a
-// small seed seconds to answer, and longer with each question that is repeated. Afterwards a rare
-// question finds the other side of a split that neither side noticed.
+// The periods at which the seeds are contacted. Each daemon starts with seedPeriod and doubles the
+// pause until it knows another daemon: a thousand hosts that start together take a small seed
+// seconds to answer, and longer with each repeated request. Afterwards, a rare request finds the
+// other side of a split that neither side noticed.
 const (
-	seedPeriod      = 300 * time.Millisecond
-	maxSeedPeriod   = 2400 * time.Millisecond
+	seedPeriod       = 300 * time.Millisecond
+	maxSeedPeriod    = 2400 * time.Millisecond
 	joinedSeedPeriod = 20 * time.Second
 )
 
@@ -87,7 +87,7 @@
 	m := &members{
 		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedStamps(),
 		pullLines: logs.NewLimiter(pullLines),
-		joinSlots:   make(chan struct{}, max(minJoinSlots, int(joinSlotsPerCore*cfg.CPUShare))), firstMemberMet: make(chan struct{}, 1),
+		joinSlots: make(chan struct{}, max(minJoinSlots, int(joinSlotsPerCore*cfg.CPUShare))), firstMemberMet: make(chan struct{}, 1),
 	}
 	m.stamp.Store(uint64(c.started.UnixNano()))
 	if err := m.newCodecs(keys(cfg)); err != nil {
@@ -127,16 +127,16 @@
 	}, nil
 }
 
-// serve answers the questions of others from when this daemon knows something. Until
-// then they are refused at once: after a loss of power all hosts ask the seeds, and those
-// that waited for a seed which starts too would serve some 100 ms later.
+// serve answers requests of other daemons once this daemon can place flows. Until then connections
+// are refused immediately: after a power loss all hosts ask the seeds, and hosts that waited for a
+// seed that is starting too would begin to forward some 100 ms later.
 func (m *members) serve(ctx context.Context) {
 	if !m.c.awaitReady(ctx) {
 		return
 	}
 	stop, err := peer.ServeRPC(ctx, m.c.cfg.Load().ControlAddress, jsonrpc2.HandlerWithError(m.handleRPC))
 	if err != nil {
-		klog.ErrorS(err, "Other daemons can't ask this one")
+		klog.ErrorS(err, "Control protocol can't be served to other daemons")
 		return
 	}
 	<-ctx.Done()
@@ -161,7 +161,7 @@
 	return err
 }
 
-// setKeys replaces the secrets that daemons share.
+// setKeys replaces the secrets shared by the daemons.
 func (m *members) setKeys(k peer.Keys) {
 	m.swim.SetKeys(k)
 	m.advertisements.SetKeys(k)
@@ -196,7 +196,7 @@
 	}
 }
 
-// receive decodes a message and passes it on.
+// receive decodes a message and passes it to handle.
 func receive[T any, P interface {
 	*T
 	Check() error
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// send encodes a message once and sends it to each of several members.
+// send encodes a message once and sends it to each of the given members.
 func send[T any, P interface {
 	*T
 	Check() error
@@ -235,7 +235,8 @@
 	}
 }
 
-// update changes the membership, puts a changed view in force and sends messages.
+// update changes the membership by f, publishes a changed view, and sends the messages that f
+// returns.
 func (m *members) update(f func(g *peer.Membership) []peer.Envelope) {
 	m.mu.Lock()
 	out := f(m.group)
@@ -267,15 +268,15 @@
 	}
 }
 
-// joinFetchTimes are the times after the start at which everything is fetched from
-// another daemon. Gossip alone takes ten seconds to tell 78 daemons that start
-// together of each other; by the second time each has asked a seed.
+// joinFetchTimes are the times after the start at which a catalog is fetched from another daemon.
+// Gossip alone takes ten seconds to inform 78 daemons that start together of each other; by the
+// second time each has asked a seed.
 var joinFetchTimes = [...]time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
 
-// JoinDuration is when the last of them is over.
+// JoinDuration is the time after the start by which the last of these fetches is over.
 const JoinDuration = 6 * time.Second
 
-// join fetches what others know: the bundle, upstreams and members.
+// join fetches the catalogs of others: the bundle, upstreams and members.
 func (m *members) join(ctx context.Context) {
 	m.bootstrap(ctx)
 	for _, after := range joinFetchTimes {
@@ -286,7 +287,8 @@
 	}
 }
 
-// anyMember returns the address of a seed that is a member, or else of any member.
+// anyMember returns the address of a random seed that is a member, or else of a random member. It
+// is invalid if there is no other member.
 func (m *members) anyMember() netip.AddrPort {
 	v := m.view.Load()
 	var seeds, others []netip.AddrPort
@@ -308,7 +310,8 @@
 	return netip.AddrPort{}
 }
 
-// memberInOtherZone returns the address of a member of another zone, if there is one.
+// memberInOtherZone returns the address of a random member of another zone. It is invalid if there
+// is none.
 func (m *members) memberInOtherZone() netip.AddrPort {
 	v := m.view.Load()
 	zone := m.c.cfg.Load().Zone
@@ -324,7 +327,7 @@
 	return others[rand.IntN(len(others))]
 }
 
-// tick lets the membership see the time and asks the seeds.
+// tick advances the membership's timers and contacts the seeds when that is due.
 func (m *members) tick(now time.Time) {
 	version := m.c.inForce.Version()
 	m.update(func(g *peer.Membership) []peer.Envelope {
@@ -342,7 +345,7 @@
 	})
 }
 
-// metServing reports whether a member that can place flows was heard.
+// metServing reports whether this daemon has received a message of a member that can place flows.
 func (m *members) metServing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/process/carrier/probe.go
+++ b/internal/process/carrier/probe.go
@@ -17,7 +17,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// probes looks whether doubted upstreams live.
+// probes sends health probes to suspected upstreams.
 type probes struct {
 	c    *Carrier
 	ctx  context.Context
@@ -25,8 +25,8 @@
 	sent atomic.Uint64
 }
 
-// answerTimeout bounds the health answer once a connection is accepted. A busy
-// upstream may take long; that it accepted already shows that it lives.
+// answerTimeout bounds the wait for the health answer once a connection is accepted. A busy
+// upstream may take long; that it accepted shows already that it is alive.
 const answerTimeout = 500 * time.Millisecond
 
 func (c *Carrier) startProbes(ctx context.Context) (func(), error) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// checkReachability looks whether this host reaches an upstream.
+// checkReachability checks whether this host reaches an upstream.
 func (p *probes) checkReachability(u *bundle.UpstreamRoute) {
 	accepted := p.acceptsQuickly(u)
 	now := time.Now()
@@ -78,13 +78,13 @@
 	p.c.engine.Checked(accepted, now)
 	due := p.c.engine.DueProbes(now)
 	p.c.mu.Unlock()
-	klog.InfoS("Nobody was heard, an upstream of another zone was asked",
+	klog.InfoS("No answer from any upstream, checked one of another zone",
 		"Upstream", u.Address, "Zone", u.Zone, "Accepted", accepted, "ProbedNext", len(due))
 	p.send(due)
 }
 
-// connect connects to the upstream and asks for its health. The connection alone shows
-// that something listens there; the answer shows which upstream it is.
+// connect connects to the upstream and requests its health. The connection alone shows that
+// something listens there; the answer shows which upstream it is.
 func (p *probes) connect(pr cookie.Probe, sent time.Time) cookie.ProbeResult {
 	a := &attempt{p: p, pr: pr, sent: sent, referenceDone: make(chan struct{})}
 	conn, err := p.dial(pr.Upstream, a.scheduleUnacceptedCheck)
@@ -99,22 +99,25 @@
 	return p.identify(conn, pr)
 }
 
-// attempt is one connection to a doubted upstream. If it isn't accepted for a while, another upstream is connected
-// to, which shows whether that is this host's trouble.
+// attempt is one connection to a suspected upstream. If it isn't accepted for a while, a connection
+// to another upstream, the reference, shows whether the fault is on this host.
 type attempt struct {
 	p    *probes
 	pr   cookie.Probe
 	sent time.Time
-	// referenceDone is closed once quick is known, see reference.
-	referenceDone chan struct{}
-	referenceAccepted    bool
-	once     sync.Once
+	// referenceDone is closed once referenceAccepted is set, see referenceAccepts.
+	referenceDone     chan struct{}
+	referenceAccepted bool
+	once              sync.Once
 }
 
-// unacceptedDivisor is the part of the time-out for which a connection is left open before another upstream is asked.
+// unacceptedDivisor divides the probe's time-out. If a connection isn't accepted within that part
+// of the time-out, the reference is connected to.
 const unacceptedDivisor = 4
 
-// scheduleUnacceptedCheck is called just before the attempt's first packet goes out.
+// scheduleUnacceptedCheck is called just before the attempt's first packet is sent. If the
+// connection isn't accepted within its part of the time-out, though the reference accepts, the
+// upstream is reported as unaccepted.
 func (a *attempt) scheduleUnacceptedCheck(conn syscall.RawConn) {
 	timeout := time.Duration(a.p.c.cfg.Load().ProbeTimeout)
 	time.AfterFunc(timeout/unacceptedDivisor, func() {
@@ -124,18 +127,20 @@
 	})
 }
 
-// unaccepted reports whether a connection isn't accepted yet. It asks the system: on a host that is short of processor time,
-// what was accepted long ago may not have been read, while the answer of a reference that came later has.
+// unaccepted reports whether a connection isn't accepted yet. It asks the operating system: on a
+// host that is short of CPU time, the acceptance of a connection may not have been read for long,
+// while the later answer of a reference has.
 func unaccepted(conn syscall.RawConn) bool {
 	waiting := false
 	err := conn.Control(func(fd uintptr) {
 		_, err := unix.Getpeername(int(fd))
 		waiting = errors.Is(err, unix.ENOTCONN)
 	})
-	return err == nil && waiting // It was closed otherwise: the attempt is over.
+	return err == nil && waiting // After another error the connection is closed: the attempt is over.
 }
 
-// referenceAccepts reports whether another upstream accepts a connection quickly. It is asked once.
+// referenceAccepts reports whether the reference accepts a connection quickly. It connects only
+// once.
 func (a *attempt) referenceAccepts() bool {
 	a.once.Do(func() {
 		a.referenceAccepted = a.p.acceptsQuickly(a.pr.Reference)
@@ -145,7 +150,7 @@
 	return a.referenceAccepted
 }
 
-// reportUnaccepted tells that a probe is left open, though its reference was accepted.
+// reportUnaccepted reports to the engine that a probe isn't accepted although its reference was.
 func (p *probes) reportUnaccepted(pr cookie.Probe, sent time.Time) {
 	now := time.Now()
 	c := p.c
@@ -157,12 +162,12 @@
 	p.send(due)
 	if len(found) > 0 {
 		c.members.announceDead(found)
-		klog.InfoS("Upstreams of a zone are silent", "Zone", pr.Upstream.Zone, "Upstreams", len(found), "FlowsReset", len(resets),
+		klog.InfoS("Upstreams of a zone don't answer", "Zone", pr.Upstream.Zone, "Upstreams", len(found), "FlowsReset", len(resets),
 			"ProbedNext", len(due))
 	}
 }
 
-// dial connects to an upstream. begins is called just before, it may be nil.
+// dial connects to an upstream. begins is called just before and may be nil.
 func (p *probes) dial(u *bundle.UpstreamRoute, begins func(syscall.RawConn)) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, time.Duration(p.c.cfg.Load().ProbeTimeout))
 	defer cancel()
@@ -175,8 +180,8 @@
 	return nd.DialContext(ctx, "tcp4", u.Address.String())
 }
 
-// acceptsQuickly reports whether an upstream accepts a connection in a fifth of the time
-// that a doubted one is given.
+// acceptsQuickly reports whether an upstream accepts a connection in a fifth of the time that a
+// suspected one is given.
 func (p *probes) acceptsQuickly(u *bundle.UpstreamRoute) bool {
 	if u == nil {
 		return false
@@ -186,11 +191,11 @@
 	if err != nil {
 		return false
 	}
-	_ = conn.Close() // Nothing was sent.
+	_ = conn.Close() // No data was sent.
 	return time.Since(began) < time.Duration(p.c.cfg.Load().ProbeTimeout)/quickDivisor
 }
 
-// quickDivisor is the part of the time-out in which a healthy upstream accepts.
+// quickDivisor divides the probe's time-out. A healthy upstream accepts within that part of it.
 const quickDivisor = 5
 
 func (p *probes) identify(conn net.Conn, pr cookie.Probe) cookie.ProbeResult {
@@ -199,17 +204,17 @@
 		DialContext:       func(context.Context, string, string) (net.Conn, error) { return conn, nil },
 	}
 	defer t.CloseIdleConnections()
-	defer func() { _ = conn.Close() }() // The answer was read or isn't waited for.
+	defer func() { _ = conn.Close() }() // The answer was read, or is no longer needed.
 	ctx, cancel := context.WithTimeout(p.ctx, answerTimeout)
 	defer cancel()
 	at := "http://" + pr.Upstream.Address.String() + pr.Upstream.Service.HealthPath
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, at, http.NoBody)
 	if err != nil {
-		return cookie.ProbeAlive // The path isn't usable, but the connection was accepted.
+		return cookie.ProbeAlive // The path is invalid, but the connection was accepted.
 	}
 	resp, err := t.RoundTrip(r)
 	if err != nil {
-		return cookie.ProbeAlive // Accepted, but too busy to answer: it may be the same.
+		return cookie.ProbeAlive // Accepted, but too busy to answer: it may be the same upstream.
 	}
 	_ = resp.Body.Close()
 	id := p.c.platform.HealthID(resp.Header)
--- a/internal/process/carrier/probe_test.go
+++ b/internal/process/carrier/probe_test.go
@@ -8,9 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// A small host is short of processor time. Connections that upstreams accepted long ago wait to be read, while a later one's
-// answer has been: if they counted as left open, live upstreams would be taken for dead and their flows reset.
-func TestConnectionWaitsOnlyUntilTheSystemHasItAccepted(t *testing.T) {
+// A small host is short of CPU time. Connections that upstreams accepted long ago wait to be read
+// by the process, while a later one's answer has been read. Guards against counting them as
+// unaccepted: live upstreams would be taken for dead and their flows reset.
+func TestConnectionIsUnacceptedOnlyUntilSystemAcceptsIt(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -23,8 +24,8 @@
 	}}
 	c, err := d.DialContext(t.Context(), "tcp4", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(before).To(BeTrue(), "its first packet isn't out yet")
-	g.Expect(unaccepted(raw)).To(BeFalse(), "nobody has read that it is accepted")
+	g.Expect(before).To(BeTrue(), "its first packet hasn't been sent yet")
+	g.Expect(unaccepted(raw)).To(BeFalse(), "the process hasn't read yet that it is accepted")
 	g.Expect(c.Close()).To(Succeed())
-	g.Expect(unaccepted(raw)).To(BeFalse(), "it is over")
+	g.Expect(unaccepted(raw)).To(BeFalse(), "it is closed")
 }
--- a/internal/process/carrier/region_test.go
+++ b/internal/process/carrier/region_test.go
@@ -10,7 +10,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// boundBundle is a bundle whose one route is bound to regions.
+// boundBundle returns a bundle with one route that is restricted to regions.
 func boundBundle(regions ...bundle.Region) *bundle.Bundle {
 	return &bundle.Bundle{
 		Services: []bundle.Service{{
@@ -24,8 +24,8 @@
 }
 
 var _ = Describe("A balancer that knows the regions of zones", func() {
-	// The next bundle binds a route to a region that is mistyped. In force, it would refuse every caller of
-	// that route.
+	// The next bundle restricts a route to a region with a misspelled name. Guards against putting
+	// it in force, which would refuse every caller of that route.
 	It("keeps the bundle in force if the next one names an unknown region", func() {
 		w := newWorld(1)
 		h := w.Hosts[0]
@@ -34,7 +34,7 @@
 		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 		before := n.Version()
 		w.Store.Accept(before+1, boundBundle("suoth"))
-		// A daemon that is alone begins to follow the store a second after its start.
+		// A daemon without others begins to follow the store a second after its start.
 		Consistently(n.Version, 3*time.Second).Should(Equal(before))
 		w.Store.Accept(before+2, boundBundle("south"))
 		Eventually(n.Version, waitTimeout).Should(Equal(before + 2))
--- a/internal/process/carrier/relay.go
+++ b/internal/process/carrier/relay.go
@@ -9,9 +9,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// relayedStamps tells reports that were passed on already from new ones, so that a report that
-// comes by both trees, or goes round while daemons differ in who is there, is passed on
-// once. It is safe for concurrent use.
+// relayedStamps records the stamps of relayed reports, so that a report that arrives by both trees,
+// or circulates while members' views differ, is relayed once. It is safe for concurrent use.
 type relayedStamps struct {
 	mu   sync.Mutex
 	last map[peer.ID]stamped
@@ -22,13 +21,13 @@
 	at    time.Time
 }
 
-// stampTTL is how long a stamp counts. A daemon that starts again with a clock that
-// jumped back begins with lower stamps; its reports are passed on again after this.
+// stampTTL is how long a stamp counts. A daemon that restarts with a clock that jumped back begins
+// with lower stamps; its reports are relayed again after this time.
 const stampTTL = 2 * time.Second
 
 func newRelayedStamps() *relayedStamps { return &relayedStamps{last: make(map[peer.ID]stamped)} }
 
-// isNew reports whether a report wasn't seen before, and notes it.
+// isNew reports whether a report wasn't seen before, and records its stamp.
 func (s *relayedStamps) isNew(from peer.ID, stamp uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +38,7 @@
 	return true
 }
 
-// expire drops what no longer counts.
+// expire deletes stamps that no longer count.
 func (s *relayedStamps) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,21 +49,23 @@
 	}
 }
 
-// advertisementSummary is what news say, to tell new ones from those that came by the other tree.
+// advertisementSummary identifies the content of an advertisement, to tell new ones from copies
+// that arrived by the other tree.
 type advertisementSummary struct {
 	bundle bundle.Version
 	asOf   objects.Position
 	digest uint64
 	// evacuated is the digest of the evacuated zones.
 	evacuated uint64
-	// confirmed is when the store last confirmed it.
+	// confirmed is when the store last confirmed the content.
 	confirmed time.Time
 }
 
-// ageTolerance is by how much the age of one word differs by the ways that it took.
+// ageTolerance is by how much the time of confirmation of one advertisement may differ between the
+// paths that it took.
 const ageTolerance = 100 * time.Millisecond
 
-// newer reports whether w says more than what was passed on before.
+// newer reports whether w covers more than what was relayed before.
 func (w advertisementSummary) newer(than advertisementSummary) bool {
 	if w.bundle != than.bundle || w.asOf != than.asOf || w.digest != than.digest || w.evacuated != than.evacuated {
 		return true
--- a/internal/process/carrier/relay_test.go
+++ b/internal/process/carrier/relay_test.go
@@ -7,13 +7,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// In a large zone each member hears a report by two ways and passes it on. If it passed
-// on what it has passed on before, two members that differ for a moment in who is there
-// would send one report to each other for good.
-var _ = Describe("What is passed on", func() {
+// In a large zone each member receives a report by two trees and relays it. Guards against relaying
+// a report again: two members whose views differ for a moment would send one report to each other
+// forever.
+var _ = Describe("Relaying", func() {
 	now := time.Unix(1000, 0)
 
-	It("is a report once, by its stamp", func() {
+	It("relays a report once, by its stamp", func() {
 		s := newRelayedStamps()
 		Expect(s.isNew(1, 5, now)).To(BeTrue())
 		Expect(s.isNew(1, 5, now.Add(time.Second))).To(BeFalse())
@@ -22,20 +22,20 @@
 		Expect(s.isNew(1, 6, now.Add(time.Second))).To(BeTrue())
 	})
 
-	It("is a report with a lower stamp once its sender must have started anew", func() {
+	It("relays a report with a lower stamp once its sender must have restarted", func() {
 		s := newRelayedStamps()
 		Expect(s.isNew(1, 1000, now)).To(BeTrue())
 		Expect(s.isNew(1, 5, now.Add(stampTTL))).To(BeTrue())
 	})
 
-	It("forgets what no longer counts", func() {
+	It("deletes stamps that no longer count", func() {
 		s := newRelayedStamps()
 		s.isNew(1, 5, now)
 		s.expire(now.Add(stampTTL))
 		Expect(s.last).To(BeEmpty())
 	})
 
-	It("is a word that says more than the last", func() {
+	It("relays an advertisement that covers more than the last one", func() {
 		w := advertisementSummary{bundle: 3, asOf: 10, digest: 7, confirmed: now}
 		older := map[string]advertisementSummary{
 			"bundle": {bundle: 2, asOf: 10, digest: 7, confirmed: now},
--- a/internal/process/carrier/restored_test.go
+++ b/internal/process/carrier/restored_test.go
@@ -13,7 +13,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// openAll starts a balancer on each host, and waits until all know each other.
+// openAll starts a balancer on each host and waits until all know each other.
 func openAll(t *testing.T, w *world.World) []*node {
 	t.Helper()
 	g := NewWithT(t)
@@ -28,11 +28,12 @@
 	return nodes
 }
 
-// lostWrites is how many changes a store loses that is restored from a snapshot. What is written then has revisions
-// that the balancers have seen.
+// lostWrites is the number of writes that a store loses by a restore from a snapshot. Later writes
+// get revisions that the balancers have seen already.
 const lostWrites = 5
 
-// restoreStore restores the store from a snapshot, once all balancers know the changes that it loses.
+// restoreStore restores the store from a snapshot after all balancers have received the writes that
+// it loses.
 func restoreStore(t *testing.T, w *world.World, nodes []*node) {
 	t.Helper()
 	g := NewWithT(t)
@@ -49,9 +50,9 @@
 	restore()
 }
 
-// Guards against draining upstreams that go unheard after the store was restored from a snapshot: the drain is written
-// under a revision that was given out before.
-func TestDrainUnderAReusedRevisionIsHeard(t *testing.T) {
+// Guards against missing a drain after the store was restored from a snapshot: the drain is written
+// with a revision that was used before.
+func TestDrainWithReusedRevisionIsApplied(t *testing.T) {
 	g := NewWithT(t)
 	w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 	nodes := openAll(t, w)
@@ -62,9 +63,9 @@
 	}
 }
 
-// Guards against zones that go on getting flows after the store was restored from a snapshot: their evacuation is written
-// under a revision that was given out before.
-func TestEvacuationUnderAReusedRevisionIsHeard(t *testing.T) {
+// Guards against missing an evacuation after the store was restored from a snapshot, so that the
+// zone goes on getting flows: the evacuation is written with a revision that was used before.
+func TestEvacuationWithReusedRevisionIsApplied(t *testing.T) {
 	g := NewWithT(t)
 	w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 	nodes := openAll(t, w)
@@ -73,9 +74,9 @@
 	g.Eventually(evacuatedAt(nodes, "zone-2"), waitTimeout).Should(BeTrue())
 }
 
-// Guards against a drain and an evacuation that are undone for as long as nobody has written them again to a store
-// that was restored from a snapshot without them.
-func TestWhatASnapshotLacksStaysInForceUntilItIsWrittenAgain(t *testing.T) {
+// Guards against ending a drain and an evacuation because the store was restored from a snapshot
+// without them, before somebody has written them again.
+func TestDrainAndEvacuationSurviveRestoreUntilRewritten(t *testing.T) {
 	g := NewWithT(t)
 	w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 	nodes := openAll(t, w)
@@ -107,15 +108,15 @@
 	h, err := w.AddHost(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	nodes = append(nodes, openNode(t, w, h))
-	g.Eventually(kept, waitTimeout).Should(BeTrue(), "the others tell one that starts")
+	g.Eventually(kept, waitTimeout).Should(BeTrue(), "the others send them to a starting balancer")
 	w.WriteAgain(time.Second)
 	time.Sleep(objects.RestoreGrace)
-	g.Consistently(kept, time.Second).Should(BeTrue(), "the store tells it again")
+	g.Consistently(kept, time.Second).Should(BeTrue(), "the store has them again")
 }
 
-// Guards against daemons that take a lagging member of the store at its word: it answers as of the time before the
-// return, and nothing that came after would be heard.
-func TestAnswersOfAFormerEpochDoNotCountAsHeard(t *testing.T) {
+// Guards against accepting the answers of a lagging member of the store: it answers as of the time
+// before the restore, and later changes would be missed.
+func TestAnswersOfEarlierEpochConfirmNothing(t *testing.T) {
 	g := NewWithT(t)
 	w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 	nodes := openAll(t, w)
@@ -143,12 +144,13 @@
 	}
 }
 
-// Guards against a drain that goes unheard since the daemon that reads the store for all is lost as the store is
-// restored, or since it is restored twice in a row, or since a zone that was cut off still holds the epoch before.
-func TestDrainIsHeardThoughTroublesMeetTheRestore(t *testing.T) {
-	for name, meet := range map[string]func(w *world.World, reader *node){
-		"the reader is cut off":   func(_ *world.World, reader *node) { reader.host.Proxy.Set(world.LinkSilent) },
-		"the store returns twice": func(w *world.World, _ *node) { w.Store.Snapshot()() },
+// Guards against missing a drain when the store is restored and another fault occurs: the store
+// reader is cut off, the store is restored twice in a row, or a zone that was cut off still holds
+// the earlier epoch.
+func TestDrainIsAppliedDespiteFaultsDuringRestore(t *testing.T) {
+	for name, inject := range map[string]func(w *world.World, reader *node){
+		"the reader is cut off":       func(_ *world.World, reader *node) { reader.host.Proxy.Set(world.LinkSilent) },
+		"the store is restored twice": func(w *world.World, _ *node) { w.Store.Snapshot()() },
 		"a zone is cut off from the others and the store": func(w *world.World, _ *node) {
 			h := w.Hosts[2]
 			h.Proxy.Set(world.LinkSilent)
@@ -163,7 +165,7 @@
 			g.Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 			reader := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.ReadsStore() })]
 			restoreStore(t, w, nodes)
-			meet(w, reader)
+			inject(w, reader)
 			g.Expect(w.DrainServer()).To(BeTrue())
 			for _, n := range nodes {
 				g.Eventually(n.AvailableUpstreams, waitTimeout).Should(Equal(11))
@@ -172,9 +174,9 @@
 	}
 }
 
-// Guards against a version that goes unheard since it is written under a revision that was given out before, or that is
-// undone since the snapshot is older.
-func TestBundleUnderAReusedRevisionIsInForce(t *testing.T) {
+// Guards against missing a bundle version that is written with a revision that was used before, and
+// against undoing a version because the snapshot is older.
+func TestBundleWithReusedRevisionTakesEffect(t *testing.T) {
 	g := NewWithT(t)
 	w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 	nodes := openAll(t, w)
@@ -185,13 +187,13 @@
 	for _, n := range nodes {
 		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, waitTimeout).Should(Equal(1))
 	}
-	g.Expect(inForce(nodes, lost)()).To(BeTrue(), "nobody goes back")
+	g.Expect(inForce(nodes, lost)()).To(BeTrue(), "no balancer reverts to the earlier version")
 	g.Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
 }
 
-// Guards against hosts that nobody finds any more after the store was restored from a snapshot without contacts: their
-// seeds are out of date.
-func TestContactsAreWrittenAgainToARestoredStore(t *testing.T) {
+// Guards against hosts that others can't find after the store was restored from a snapshot without
+// contacts, when their seeds are out of date.
+func TestContactsAreRewrittenAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	const (
 		kind, name = "fescueshed-contacts", "main"
@@ -202,7 +204,7 @@
 	openAll(t, w)
 	written := func() string { return w.Store.Content(kind, name) }
 	g.Eventually(written, waitTimeout).ShouldNot(BeEmpty())
-	time.Sleep(readBack) // Then the keeper looks only rarely what the store has.
+	time.Sleep(readBack) // From then on the store reader reads the contacts rarely.
 	restore()
 	g.Expect(written()).To(BeEmpty())
 	g.Eventually(written, waitTimeout).ShouldNot(BeEmpty())
--- a/internal/process/carrier/start.go
+++ b/internal/process/carrier/start.go
@@ -13,24 +13,24 @@
 	"github.com/fescueshed/fescueshed/internal/connection/peer"
 )
 
-// startup is how a daemon comes to know enough to place flows. In its order:
+// startup is the sequence by which a daemon obtains the state that it needs to place flows:
 //
-//	sockets are open      callers' packets wait there
-//	seeds are asked       they answer with who can tell more, see peer.Membership.Introductions
-//	a member tells all    or the daemon reads the store, as peer.Start decides
-//	ready                 flows are placed, others may ask
-//	the rest              all members, and what was known of upstreams that went
+//	sockets are open        callers' packets wait in them
+//	seeds are asked         they answer with members that can send more, see peer.Membership.Introductions
+//	a catalog is fetched    from a member, or the daemon reads the store, as peer.Start decides
+//	ready                   flows are placed, other daemons may ask this one
+//	the rest is fetched     all members, and the removed upstreams
 //
-// After a loss of all power the seeds are as dark as the daemon, and it turns to the store. If
-// the list of upstreams turns out to be long there, it is held back before it is read: all hosts
-// together fill the store's link with it, and a small one takes longest to read it. A larger
-// member has started sooner, and tells the same in a third of the bytes. It is safe for
-// concurrent use.
+// After a power loss of all hosts the seeds are down as well, and the daemon reads the store. If
+// the list of upstreams there turns out to be large, the daemon delays reading it: all hosts
+// together saturate the store's link with it, and a small host takes longest to read it. A larger
+// member has started earlier and sends the same content in a third of the bytes. startup is safe
+// for concurrent use.
 type startup struct {
 	peer.Start
-	// ready is set when the daemon knows enough to place flows, callersWaiting when a caller's
-	// packet has come before, listIsLarge when the store has a long list, and noLargerMember when
-	// there is no larger member to be asked for it.
+	// ready is set when the daemon can place flows, callersWaiting when a caller's packet has
+	// arrived before that, listIsLarge when the store has a large list of upstreams, and
+	// noLargerMember when there is no larger member to fetch it from.
 	ready, callersWaiting, listIsLarge, noLargerMember event
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// event is something that happens once. It is safe for concurrent use.
+// event is a condition that is set once and stays set. It is safe for concurrent use.
 type event struct {
 	once *sync.Once
 	done chan struct{}
@@ -61,26 +61,29 @@
 }
 
 const (
-	// otherKindTimeout is more than one of the two lists comes after the other, on small hosts too.
+	// otherKindTimeout is more than the time between the arrivals of the two lists, on small hosts
+	// too.
 	otherKindTimeout = 200 * time.Millisecond
-	// startPoll is how often a daemon that isn't ready looks whether it should read the store.
+	// startPoll is how often a daemon that isn't ready checks whether it should read the store.
 	startPoll = 10 * time.Millisecond
-	// largerMemberPause lies between two questions to larger members while callers wait: one that isn't
-	// ready refuses at once, and is ready some 10 ms later.
+	// largerMemberPause is the pause between two requests to larger members while callers wait: a
+	// member that isn't ready refuses immediately, and is ready some 10 ms later.
 	largerMemberPause = 15 * time.Millisecond
-	// startFetchTimeout bounds a question. A list of 300 upstreams takes 50 ms on a host with a
-	// sixteenth of a core.
+	// startFetchTimeout bounds a request for a catalog during the start. A list of 300 upstreams
+	// takes 50 ms on a host with a sixteenth of a core.
 	startFetchTimeout = 250 * time.Millisecond
-	// largeListBytes is from how many bytes on a page counts as long: that of some 400 upstreams, which
-	// a host with a sixteenth of a core and 20 Mbit/s takes 100 ms to read. To ask for contacts and
-	// then a larger member takes it 80 ms, however long the list is.
+	// largeListBytes is the size of a page in bytes from which a list counts as large: the size for
+	// some 400 upstreams, which a host with a sixteenth of a core and 20 Mbit/s takes 100 ms to
+	// read. Fetching the contacts and then a catalog from a larger member takes such a host 80 ms,
+	// however long the list is.
 	largeListBytes = 96 << 10
-	// largerMemberTimeout is how long a daemon relies on a larger member before it reads the store all the
-	// same. That one may be gone, starting too, or behind a cut.
+	// largerMemberTimeout is how long a daemon waits for a larger member before it reads the store
+	// itself. That member may be removed, starting as well, or unreachable behind a network
+	// partition.
 	largerMemberTimeout = 100 * time.Millisecond
 )
 
-// bootstrap asks others until this daemon can place flows.
+// bootstrap fetches catalogs from other daemons until this daemon can place flows.
 func (m *members) bootstrap(ctx context.Context) {
 	s := m.c.start
 	long := s.listIsLarge.done
@@ -108,7 +111,7 @@
 	}
 }
 
-// logReady writes the line of the end of a start: how long it took and what it cost.
+// logReady logs the end of the start: how long it took and how many calls it needed.
 func (m *members) logReady(ctx context.Context) {
 	if !m.c.awaitReady(ctx) {
 		return
@@ -120,15 +123,16 @@
 		"Rank", m.view.Load().ReaderRank(), "Members", len(m.view.Load().Members))
 }
 
-// greetAndFetch fetches what another daemon knows, and makes itself known there.
+// greetAndFetch introduces this daemon to another one and fetches that one's catalog.
 func (m *members) greetAndFetch(to netip.AddrPort) {
 	m.update(func(g *peer.Membership) []peer.Envelope { return g.Greet(to) })
 	if err := m.fetch(to, startFetchTimeout); err != nil {
-		klog.V(1).InfoS("Member didn't tell", "Member", to, "Error", err)
+		klog.V(1).InfoS("Catalog not fetched from member", "Member", to, "Error", err)
 	}
 }
 
-// catalogSources returns where members are asked by a daemon that starts, see peer.View.Tellers.
+// catalogSources returns the RPC addresses of members from which a starting daemon fetches a
+// catalog, see peer.View.Tellers.
 func (m *members) catalogSources() []netip.AddrPort {
 	list := m.view.Load().Tellers()
 	out := make([]netip.AddrPort, 0, len(list))
@@ -138,8 +142,9 @@
 	return out
 }
 
-// largerMembers returns members of the own zone that are so much larger that they have read the
-// store before. If none is known, the contacts in the store name some.
+// largerMembers returns the RPC addresses of members of this daemon's zone that are so much larger
+// that they have read the store before it. If no such member is known, it returns those that the
+// contacts in the store name.
 func (m *members) largerMembers(ctx context.Context) []netip.AddrPort {
 	v := m.view.Load()
 	self := v.Member(v.Self)
@@ -163,8 +168,9 @@
 	return o.Value.Larger(self.Zone, self.Size)
 }
 
-// listStillNeeded is asked before a list of upstreams is read from the store, once its size is known.
-// If it is long, a larger member gets time to tell it. It reports whether the list is still wanted.
+// listStillNeeded is called before a list of upstreams is read from the store, once its size in
+// bytes is known. If the list is large, it gives a larger member time to send its catalog. It
+// reports whether the list still has to be read.
 func (c *Carrier) listStillNeeded(ctx context.Context, size int64) bool {
 	if size < largeListBytes {
 		return true
@@ -179,8 +185,8 @@
 	return !c.start.ready.isSet()
 }
 
-// awaitOtherKind waits until this daemon can place flows, for otherKindAfter at most: the store of
-// a system that starts for the first time has no bundle yet.
+// awaitOtherKind waits until this daemon can place flows, but at most otherKindTimeout: the store
+// of a system that starts for the first time has no bundle yet.
 func (c *Carrier) awaitOtherKind(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -189,8 +195,9 @@
 	}
 }
 
-// awaitReadCheck waits until it is time to look again whether this daemon reads: idlePoll, or until a
-// caller's packet comes that a daemon which isn't ready has to read for.
+// awaitReadCheck waits until the next check whether this daemon should read the store. That is
+// after readCheckPeriod, or, before the daemon is ready, after startPoll or as soon as a caller's
+// packet arrives.
 func (c *Carrier) awaitReadCheck(ctx context.Context) {
 	if c.start.ready.isSet() || c.start.callersWaiting.isSet() {
 		sleep(ctx, readCheckPeriod)
@@ -203,7 +210,7 @@
 	}
 }
 
-// awaitReady waits until the daemon knows enough to place flows, false if ctx ends before.
+// awaitReady waits until the daemon can place flows. It returns false if ctx ends before.
 func (c *Carrier) awaitReady(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/process/carrier/start_test.go
+++ b/internal/process/carrier/start_test.go
@@ -13,11 +13,11 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// unusedSeeds is a seed where no daemon is.
+// unusedSeeds has the address of a seed at which no daemon runs.
 var unusedSeeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.9.9:9")}
 
-// makeListLarge adds an entry that makes the list of upstreams long: another writer's, which names
-// no upstream.
+// makeListLarge adds an entry that makes the list of upstreams large. It is another writer's and
+// names no upstream.
 func makeListLarge(w *world.World) {
 	w.Store.Put(wire.KindServers, "long", strings.Repeat("x", 128<<10))
 }
@@ -31,8 +31,8 @@
 	}
 
 	// The whole system starts for the first time, and the operator's first bundle is written
-	// seconds later. The daemon that has listed no bundle waits to be ready before it looks
-	// again, and is ready only with one: no host ever serves.
+	// seconds later. Guards against a daemon that has listed no bundle and waits to be ready before
+	// it checks again, though only a bundle makes it ready: no host would ever forward.
 	It("is ready once the first bundle is written", func() {
 		w := newWorld(1)
 		w.Store.Delete(wire.KindConfig, wire.NameConfig)
@@ -44,9 +44,9 @@
 		Eventually(n.Ready, waitTimeout).Should(BeTrue())
 	})
 
-	// A host is added to a system that runs. If it read the store as each did before, 37 hosts
-	// that are added would make 330 calls.
-	It("is told by others and leaves the store alone", func() {
+	// A host is added to a running system. Guards against new hosts that each read the store: 37
+	// added hosts would make 330 calls.
+	It("gets its state from others and doesn't call the store", func() {
 		w := newWorld(3)
 		startAll(w)
 		h := addHost(w)
@@ -57,17 +57,17 @@
 		Eventually(n.Members, waitTimeout).Should(Equal(4))
 	})
 
-	// All power was lost. A host comes back whose seeds are all dark, and no caller has found it
-	// yet: it mustn't wait for one, or for the seeds.
-	It("reads the store at once if no seed answers", func() {
+	// All hosts lost power. A host starts whose seeds are all down, and it has received no caller's
+	// packet yet: it must wait neither for one nor for the seeds.
+	It("reads the store immediately if no seed answers", func() {
 		w := newWorld(1)
 		w.Hosts[0].Seeds = unusedSeeds
 		Eventually(startNode(w, w.Hosts[0]).Ready, waitTimeout).Should(BeTrue())
 	})
 
-	// All power was lost, and the list of upstreams is long. A small host has the contacts from
-	// the store; the large one that they name came back before it and tells the list.
-	It("is told a long list by a larger member", func() {
+	// All hosts lost power, and the list of upstreams is large. A small host reads the contacts
+	// from the store; the large host that they name has started earlier and sends its catalog.
+	It("gets a large list from a larger member", func() {
 		w := newWorld(3)
 		startAll(w)
 		const kind, name = "fescueshed-contacts", "main"
@@ -81,9 +81,9 @@
 		Expect(metricsOf(n)).NotTo(ContainSubstring("fescueshed_catalogs_fetched_total 0\n"))
 	})
 
-	// The larger member that the contacts name lost its power with the others and is still dark,
-	// or was replaced. Who waits for it serves nobody.
-	It("reads a long list itself if the larger member doesn't tell", func() {
+	// The larger member that the contacts name is still down after the power loss, or was replaced.
+	// Guards against a host that waits for it and doesn't forward.
+	It("reads a large list itself if the larger member doesn't answer", func() {
 		w := newWorld(1)
 		w.Store.Put("fescueshed-contacts", "main", map[string]any{"Members": []map[string]any{
 			{"Name": "gone", "Zone": w.Hosts[0].Zone, "Control": unusedSeeds[0].String(), "Size": 8000},
@@ -95,8 +95,8 @@
 		Expect(n.AvailableUpstreams()).To(Equal(12))
 	})
 
-	// Nobody wrote contacts yet, and all hosts lose power.
-	It("reads a long list itself if there are no contacts", func() {
+	// No contacts have been written yet, and all hosts lose power.
+	It("reads a large list itself if there are no contacts", func() {
 		w := newWorld(1)
 		makeListLarge(w)
 		w.Hosts[0].Seeds = unusedSeeds
@@ -105,9 +105,9 @@
 		Expect(n.AvailableUpstreams()).To(Equal(12))
 	})
 
-	// A whole zone starts for the first time. The first in rank reads for all; every other one
-	// has its list from a member, also in other zones.
-	It("is ready with all others at the first start of the system", func() {
+	// A whole zone starts for the first time. The first-ranked daemon reads for all; every other
+	// one gets its list from a member, also in other zones.
+	It("becomes ready with all others at the first start of the system", func() {
 		w := newWorld(9)
 		nodes := make([]*node, 0, len(w.Hosts))
 		for _, h := range w.Hosts {
@@ -121,9 +121,9 @@
 		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
 	})
 
-	// The reader dies. Who takes over knows the list as of the last news, and needn't read it
-	// again: a list of 3000 upstreams is six calls.
-	It("goes on from what it was told when it takes over the reading", func() {
+	// The store reader fails. The daemon that takes over holds the list as of the last
+	// advertisement, and needn't read it again: a list of 3000 upstreams is six calls.
+	It("continues from its received state when it takes over as store reader", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
 		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
--- a/internal/process/carrier/status.go
+++ b/internal/process/carrier/status.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-// storeStatus tells as of when the store's content is known. c.mu is held.
+// storeStatus returns as of when the store's content is known. c.mu must be held.
 func (c *Carrier) storeStatus(now time.Time) *status.StoreStatus {
 	out := &status.StoreStatus{Epoch: c.state.epoch, EpochSince: c.state.epochSince}
 	out.HeldOverOlder, out.HeldThoughMissing = c.state.catalog.Held()
@@ -46,7 +46,7 @@
 	return out
 }
 
-// dropStatus returns what was dropped or reset, by cause.
+// dropStatus returns the number of packets dropped or reset, by cause.
 func dropStatus(k *cookie.Counters) []status.DropStatus {
 	var out []status.DropStatus
 	for cause := cookie.CauseNone; cause < cookie.NumCauses; cause++ {
--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -36,8 +36,8 @@
 	}, nil
 }
 
-// shouldReadStore reports whether this daemon shouldReadStore the store now: as peer.Start says until it can place
-// flows, and then as peer.Reading does.
+// shouldReadStore reports whether this daemon should read the store now. Until it can place flows,
+// peer.Start decides, afterwards peer.Reading.
 func (c *Carrier) shouldReadStore(now time.Time) bool {
 	v := c.members.view.Load()
 	rank := v.ReaderRank()
@@ -52,10 +52,10 @@
 	return c.followsStore(rank, now)
 }
 
-// followsStore reports whether this daemon, whose view says rank, followsStore the store. One that can't
-// place flows yet doesn't, and mustn't ask reading: it has heard nothing, so reading would begin,
-// and go on for a second after others have told the daemon all, on every host of a fleet that
-// starts together. c.mu is held.
+// followsStore reports whether this daemon, which has the given rank in its view, follows the
+// store. One that can't place flows yet doesn't, and must not consult c.election: having received
+// nothing, it would become a store reader and stay one for a second after others have sent it
+// everything, on every host of a fleet that starts together. c.mu must be held.
 func (c *Carrier) followsStore(rank int, now time.Time) bool {
 	if !c.canPlaceFlowsLocked() {
 		return false
@@ -73,12 +73,12 @@
 	c.applyStoredUpstreams(s.AsOf, now, func() bool { return c.state.catalog.Replace(list, s.AsOf, now) })
 }
 
-// noteOwnRead notes that this daemon itself has read the store: it needn't again, unless nobody
-// tells it more in time. c.mu is held.
+// noteOwnRead records that this daemon itself has read the store. It needn't read again unless it
+// receives nothing newer from others in time. c.mu must be held.
 func (c *Carrier) noteOwnRead() { c.election.Heard(c.state.confirmedAll(), false) }
 
-// noteStoreFailure notes that a call of the store failed. The first time it tells others at once: they
-// hear no news meanwhile, and would turn to the store themselves.
+// noteStoreFailure records a failed call of the store. The first time, it announces the failure
+// immediately: the others receive no advertisements meanwhile, and would read the store themselves.
 func (c *Carrier) noteStoreFailure(now time.Time) {
 	c.mu.Lock()
 	first := c.state.failing.IsZero()
@@ -89,8 +89,8 @@
 	}
 }
 
-// noteStoreLost notes that a daemon which reads has no answer from the store. It reports whether
-// that is new.
+// noteStoreLost records that a store reader gets no answer from the store. It reports whether that
+// is new.
 func (c *Carrier) noteStoreLost(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,9 +99,9 @@
 	return !known
 }
 
-// storeLost reports whether this daemon's own calls of the store aren't answered, and whether it
-// has no fresh word of the store's from anybody. A call that hangs shows itself only after a
-// second and a half, when the whole zone would have turned to the store.
+// storeLost reports whether this daemon's own calls of the store fail, and whether it has no recent
+// content of the store from any source. A call that hangs is detected only after a second and a
+// half, when the whole zone would have turned to the store.
 func (c *Carrier) storeLost(now time.Time) (own, any bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,12 +112,12 @@
 	return own, own || c.election.StoreIsLost(now) || now.Sub(c.state.confirmedAll()) > maxAdvertisedAge
 }
 
-// storeFailureTTL is how long a failed call counts: more than the pause to the next one of the first
-// in rank, and a call that hangs.
+// storeFailureTTL is how long a failed call counts: longer than the pause of the first-ranked
+// reader before its next call, plus a call that hangs.
 const storeFailureTTL = 3 * time.Second
 
-// upstreamsPosition returns the position as of which the list of upstreams is known as a whole, zero if
-// it isn't.
+// upstreamsPosition returns the position as of which the list of upstreams is known as a whole, or
+// zero if it isn't.
 func (c *Carrier) upstreamsPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,8 +127,8 @@
 	return c.state.catalog.AsOf
 }
 
-// updateEngine lets the engine route by what changed in the catalog. It returns resets for flows
-// that ended by it, to be sent once c.mu isn't held any more, as it is here.
+// updateEngine passes the catalog's changes to the engine. It returns resets for the flows that end
+// by them, to be sent after c.mu is released. c.mu must be held.
 func (c *Carrier) updateEngine(now time.Time) []cookie.Reset {
 	changes := c.state.catalog.TakeChanges()
 	before := c.engine.Counters.Restarts
@@ -145,8 +145,8 @@
 	return resets
 }
 
-// registrationOf returns what an object of the store says of an upstream. Its identifier is
-// zero if the object stands for none.
+// registrationOf returns the registration of an upstream that an object of the store holds. Its
+// identifier is zero if the object represents no upstream.
 func registrationOf(o *objects.Object[registry.Registration]) registry.Registration {
 	if o.Err == nil {
 		return o.Value
@@ -164,9 +164,9 @@
 	c.applyStoredUpstreams(ch.AsOf, now, func() bool { return c.state.catalog.Apply(changes, ch.AsOf, now) })
 }
 
-// applyStoredUpstreams takes in what this daemon itself has read of the list of upstreams. take changes the
-// catalog and reports whether it did. What the catalog refuses, as news of a later position came first,
-// doesn't count as heard.
+// applyStoredUpstreams applies what this daemon itself has read of the list of upstreams. take
+// changes the catalog and reports whether it did. What the catalog refuses, since an advertisement
+// of a later position arrived first, doesn't count as confirmed.
 func (c *Carrier) applyStoredUpstreams(asOf objects.Position, now time.Time, take func() bool) {
 	c.mu.Lock()
 	var resets []cookie.Reset
@@ -181,7 +181,7 @@
 	c.data.resets(resets)
 }
 
-// confirmList notes as of when the list of upstreams is known. c.mu is held.
+// confirmList records the time as of which the list of upstreams is known. c.mu must be held.
 func (c *Carrier) confirmList(at time.Time) {
 	c.state.confirm(kindUpstreams, at)
 	c.engine.Confirm(at)
--- a/internal/process/carrier/follows_test.go
+++ b/internal/process/carrier/store_test.go
@@ -11,11 +11,12 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// A fleet starts for the first time, and takes more than half a second for it. Each daemon looks
-// whether it has news to tell, finds that it has heard none, and takes over the reading: 195 hosts
-// call the store at the moment when the first of them has told them all.
+// A fleet starts for the first time, and takes more than half a second for it. Each daemon checks
+// whether it should advertise. Guards against daemons that find that they have received nothing and
+// become store readers: 195 hosts would call the store just when the first one has sent them
+// everything.
 var _ = Describe("A daemon that can't place flows yet", func() {
-	It("doesn't follow the store, and doesn't begin to when it is told all", func() {
+	It("doesn't follow the store, nor right after it has received everything", func() {
 		now := time.Unix(1_000_000, 0)
 		c := &Carrier{
 			engine: cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoned("a", upstream.DefaultChoices)}),
@@ -23,13 +24,13 @@
 		}
 		const rank = 9
 		Expect(c.followsStore(rank, now.Add(500*time.Millisecond))).To(BeFalse())
-		told := now.Add(time.Second)
-		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), told)
-		c.engine.Confirm(told)
-		Expect(c.followsStore(rank, told.Add(3*time.Second))).To(BeFalse(), "the evacuated zones aren't known")
-		c.state.confirm(kindEvacuations, told)
-		c.election.Heard(told, false)
-		Expect(c.followsStore(rank, told)).To(BeFalse())
-		Expect(c.followsStore(rank, told.Add(3*time.Second))).To(BeTrue(), "nobody tells it more")
+		receivedAt := now.Add(time.Second)
+		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), receivedAt)
+		c.engine.Confirm(receivedAt)
+		Expect(c.followsStore(rank, receivedAt.Add(3*time.Second))).To(BeFalse(), "the evacuated zones aren't known")
+		c.state.confirm(kindEvacuations, receivedAt)
+		c.election.Heard(receivedAt, false)
+		Expect(c.followsStore(rank, receivedAt)).To(BeFalse())
+		Expect(c.followsStore(rank, receivedAt.Add(3*time.Second))).To(BeTrue(), "it receives nothing more")
 	})
 })
--- a/internal/process/carrier/knowledge.go
+++ b/internal/process/carrier/storestate.go
@@ -9,7 +9,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// kind is a kind of the store's objects that flows are placed by.
+// kind is a kind of the store's objects that placement depends on.
 type kind uint8
 
 const (
@@ -21,33 +21,33 @@
 
 var kindNames = [numKinds]string{"Bundles", "Registrations", "Evacuations"}
 
-// String names the kind, for logs.
+// String returns the name of the kind for logs and metrics.
 func (k kind) String() string { return kindNames[k] }
 
-// storeState is what this daemon knows of the store's content, and as of when: from its own calls or
-// from other daemons. It isn't safe for concurrent use; Carrier.mu guards it.
+// storeState is what this daemon holds of the store's content, and as of when, from its own calls
+// or from other daemons. It isn't safe for concurrent use; Carrier.mu guards it.
 type storeState struct {
-	// history holds the bundle in force and what led to it, bundleAsOf is the position up to which
-	// the store is known to have no newer one.
+	// history holds the bundle in force and the updates that led to it. bundleAsOf is the position
+	// up to which the store is known to have no newer bundle.
 	history    bundle.History
 	bundleAsOf objects.Position
 	catalog    *registry.Catalog
 	evacuated  evacuation.InForce
-	// epoch is the latest epoch of the store that was heard of, epochSince since when it is known.
+	// epoch is the latest known epoch of the store, epochSince the time since which it is known.
 	epoch      objects.Epoch
 	epochSince time.Time
-	// needsWholeBundle and needsWholeList are set if what another daemon told didn't lead to its
-	// bundle or to its list.
+	// needsWholeBundle and needsWholeList are set if updates from another daemon didn't lead to its
+	// bundle or its list.
 	needsWholeBundle, needsWholeList bool
-	// confirmed is as of when each kind is known, zero if it isn't.
+	// confirmed is the time as of which each kind is known, or zero if it isn't known.
 	confirmed [numKinds]time.Time
-	// failing is when a call of the store failed last, zero if one was answered since. answered is
-	// when one was answered last.
+	// failing is when a call of the store last failed, or zero if one was answered since. answered
+	// is when one was last answered.
 	failing, answered time.Time
 }
 
-// observeEpoch notes the epoch that an answer or a message tells, and reports whether the store was restored since
-// something was known of it.
+// observeEpoch records the epoch given by an answer or a message. It reports whether the epoch
+// shows that the store was restored since something was known of its content.
 func (k *storeState) observeEpoch(e objects.Epoch, now time.Time) bool {
 	if e <= k.epoch {
 		return false
@@ -73,14 +73,14 @@
 	return k.catalog.AsOf
 }
 
-// confirm notes that a kind was known as a whole at a time.
+// confirm records that a kind was known as a whole at a given time.
 func (k *storeState) confirm(of kind, at time.Time) {
 	if at.After(k.confirmed[of]) {
 		k.confirmed[of] = at
 	}
 }
 
-// confirmedAll returns as of when all kinds are known, zero if one isn't.
+// confirmedAll returns the time as of which all kinds are known, or zero if one isn't known.
 func (k *storeState) confirmedAll() time.Time {
 	oldest := k.confirmed[0]
 	for _, at := range k.confirmed {
--- a/internal/process/carrier/knowledge_test.go
+++ b/internal/process/carrier/storestate_test.go
@@ -9,8 +9,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// Guards against a daemon that says at its start that the store was restored, since it hears of its epoch then.
-func TestEpochOfAStartIsNoRestore(t *testing.T) {
+// Guards against a daemon that reports a restore of the store when it first sees the store's epoch.
+func TestFirstEpochIsNotARestore(t *testing.T) {
 	g := NewWithT(t)
 	k := storeState{catalog: registry.NewCatalog()}
 	now := time.Unix(0, 0)
