--- a/internal/process/carrier/advertisement.go
+++ b/internal/process/carrier/advertisement.go
@@ -24,7 +24,7 @@
 	reads := m.c.followsStore(v.ReaderRank(), now)
 	m.c.mu.Unlock()
 	if reads {
-		m.sendAdvertisement(v.Self, append(v.Audience(true), v.OtherReaders()...), now)
+		m.sendAdvertisement(v.Self, append(v.Recipients(true), v.OtherZoneReaders()...), now)
 	}
 }
 
@@ -33,15 +33,15 @@
 // relays to its children, once.
 func (m *members) relayAdvertisement(origin peer.ID, now time.Time) {
 	v := m.view.Load()
-	if v.ZoneReader() {
+	if v.IsZoneReader() {
 		// An origin in the same zone stands in for this daemon and has sent the advertisement to
 		// the others.
 		if o := v.Member(origin); o != nil && o.Zone != m.c.cfg.Load().Zone {
-			m.sendAdvertisement(v.Self, v.Audience(true), now)
+			m.sendAdvertisement(v.Self, v.Recipients(true), now)
 		}
 		return
 	}
-	if to := v.Audience(false); origin != 0 && len(to) > 0 && m.c.shouldRelay() {
+	if to := v.Recipients(false); origin != 0 && len(to) > 0 && m.c.shouldRelay() {
 		m.sendAdvertisement(origin, to, now)
 	}
 }
@@ -73,15 +73,15 @@
 		c.mu.Unlock()
 		return
 	}
-	n := &peer.News{
-		From:       origin,
-		Age:        now.Sub(as),
-		Doubt:      c.state.catalog.Doubt(now),
-		BundleAsOf: c.state.bundleAsOf,
-		AsOf:       c.state.catalog.AsOf,
-		Digest:     c.state.catalog.Digest(),
-		Changes:    c.state.catalog.Recent(now.Add(-advertisedSpan), peer.MaxNewsChanges),
-		Evacuated:  peer.Evacuated(&c.state.evacuated.Stored),
+	n := &peer.Advertisement{
+		From:            origin,
+		Age:             now.Sub(as),
+		SuspicionPeriod: c.state.catalog.RemovalSuspicion(now),
+		BundleAsOf:      c.state.bundleAsOf,
+		AsOf:            c.state.catalog.AsOf,
+		Digest:          c.state.catalog.Digest(),
+		Changes:         c.state.catalog.Recent(now.Add(-advertisedSpan), peer.MaxAdvertisedChanges),
+		Evacuated:       peer.NewAdvertisedZones(&c.state.evacuated.Stored),
 	}
 	c.mu.Unlock()
 	// The version is read after the age, so that it isn't advertised as more recent than it is
@@ -93,7 +93,7 @@
 // receiveAdvertisement applies what another daemon read in the store. If the changes don't lead to
 // the sender's state, the sender's catalog is fetched, and the advertisement doesn't count as
 // received.
-func (m *members) receiveAdvertisement(from netip.AddrPort, n *peer.News, now time.Time) {
+func (m *members) receiveAdvertisement(from netip.AddrPort, n *peer.Advertisement, now time.Time) {
 	v := m.view.Load()
 	if n.From == v.Self {
 		return // This daemon's own advertisement, relayed back while members' views differ.
@@ -108,16 +108,16 @@
 	}
 	c.observeEpoch(n.AsOf, "News", now)
 	c.lastOrigin = n.From
-	c.state.catalog.DoubtFor(n.Doubt, now)
+	c.state.catalog.SuspectRemovalsFor(n.SuspicionPeriod, now)
 	var resets []cookie.Reset
-	if c.state.catalog.Hear(n.Changes, n.AsOf, n.Digest, now) {
+	if c.state.catalog.ApplyIfComplete(n.Changes, n.AsOf, n.Digest, now) {
 		resets = c.updateEngine(now)
 	}
-	if n.Evacuated.Told() {
+	if n.Evacuated.Complete() {
 		c.applyEvacuations(n.Evacuated.Zones, bundleSource{source: "News", name: from.String(), age: n.Age}, now)
 	}
-	lacksBundle, lacksList := n.Lacks(version, c.state.catalog.AsOf, c.state.catalog.Digest())
-	lacksEvacuated := n.Evacuated.Lacks(&c.state.evacuated.Stored)
+	lacksBundle, lacksList := n.MissingFrom(version, c.state.catalog.AsOf, c.state.catalog.Digest())
+	lacksEvacuated := n.Evacuated.MissingFrom(&c.state.evacuated.Stored)
 	if !lacksList {
 		c.confirmList(as)
 	}
@@ -125,7 +125,7 @@
 		c.confirmEvacuations(as)
 	}
 	if !lacksList && !lacksBundle && !lacksEvacuated {
-		c.election.Heard(as, v.ReadsBefore(n.From))
+		c.election.Received(as, v.RanksBefore(n.From))
 		c.confirmBundleAt(as, n.BundleAsOf)
 	}
 	c.mu.Unlock()
--- a/internal/process/carrier/bundle.go
+++ b/internal/process/carrier/bundle.go
@@ -79,7 +79,7 @@
 	v bundle.Version, from bundleSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
 ) {
 	routes, changed := 0, 0
-	taken, err := c.inForce.Take(v, func() error {
+	taken, err := c.inForce.ApplyIfNewer(v, func() error {
 		a, step, err := next(c.bundleInForce())
 		if err != nil {
 			return err
@@ -117,7 +117,7 @@
 // copy, and no later update would ever apply.
 func (c *Carrier) refuseBundle(v bundle.Version, from bundleSource, err error) {
 	klog.ErrorS(err, "Bundle refused", "Version", v, "Source", from.source, "Name", from.name)
-	if eris.Is(err, bundle.ErrNotLedOn) {
+	if eris.Is(err, bundle.ErrUpdateMismatch) {
 		c.setNeedsWholeBundle(true)
 	}
 }
@@ -132,7 +132,7 @@
 func (c *Carrier) bundleInForce() bundle.Accepted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.history.Now()
+	return c.state.history.Current()
 }
 
 // confirmBundle records that this daemon itself has read which bundle is the newest, as of a
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -58,8 +58,8 @@
 	// mu guards the fields below.
 	mu             sync.Mutex
 	engine         *cookie.Engine
-	warmupLimiters *peer.Warmers
-	election       peer.Reading
+	warmupLimiters *peer.WarmupLimiter
+	election       peer.ReaderElection
 	state          storeState
 	// lastOrigin is the daemon from which the last received advertisement originates. lastRelayed
 	// summarizes the last advertisement that this daemon relayed.
@@ -78,14 +78,14 @@
 		state:    storeState{catalog: registry.NewCatalog()},
 	}
 	c.start = newStartup(c.started, cfg.FirstStart)
-	c.warmupLimiters = peer.NewWarmers(peer.IDOf(cfg.Name), c.started.Add(JoinDuration))
+	c.warmupLimiters = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), c.started.Add(JoinDuration))
 	c.engine = cookie.NewEngine(cookie.Options{
-		Warmer:       c.warmupLimiters,
-		Zone:         cfg.Zone,
-		Regions:      cfg.Regions,
-		Policy:       upstream.NewZoned(cfg.Zone, upstream.DefaultChoices),
-		FlowLifetime: time.Duration(cfg.FlowLifetime),
-		Answered:     func(took time.Duration) { c.answerSeconds.Update(took.Seconds()) },
+		WarmupLimiter: c.warmupLimiters,
+		Zone:          cfg.Zone,
+		Regions:       cfg.Regions,
+		Policy:        upstream.NewZoneAware(cfg.Zone, upstream.DefaultChoices),
+		FlowLifetime:  time.Duration(cfg.FlowLifetime),
+		OnAnswered:    func(took time.Duration) { c.answerSeconds.Update(took.Seconds()) },
 	})
 	c.cfg.Store(cfg)
 	cleanup, err := steps.Run(ctx,
@@ -102,7 +102,7 @@
 	t.Subscribe(tickPeriod, c.tick)
 	t.Subscribe(memberTickPeriod, c.members.tick)
 	t.Subscribe(sweepPeriod, c.sweep)
-	t.Subscribe(peer.EagerPeriod, c.sendLoadsEagerly)
+	t.Subscribe(peer.StartupReportPeriod, c.sendLoadsEagerly)
 	return stop, nil
 }
 
@@ -151,7 +151,7 @@
 	defer c.mu.Unlock()
 	n := 0
 	for _, r := range c.state.catalog.InUse() {
-		if r.Known() {
+		if r.HasContent() {
 			n++
 		}
 	}
@@ -193,7 +193,7 @@
 // sweep expires flows and sends this daemon's loads and advertisement.
 func (c *Carrier) sweep(now time.Time) {
 	c.mu.Lock()
-	c.warmupLimiters.See(c.members.view.Load(), now)
+	c.warmupLimiters.Update(c.members.view.Load(), now)
 	c.engine.Expire(now)
 	c.mu.Unlock()
 	c.members.sendLoads(now)
@@ -204,7 +204,7 @@
 
 // sendLoadsEagerly sends loads at a shorter period for a while after the start.
 func (c *Carrier) sendLoadsEagerly(now time.Time) {
-	if peer.TellsEagerly(now.Sub(c.started)) {
+	if peer.UsesStartupReportPeriod(now.Sub(c.started)) {
 		c.members.sendLoads(now)
 	}
 }
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -64,7 +64,7 @@
 	c.mu.Lock()
 	params := peer.CatalogParams{AsOf: c.state.catalog.AsOf, Digest: c.state.catalog.Digest(), Whole: c.state.needsWholeList}
 	if !c.state.needsWholeBundle {
-		params.Version = c.state.history.Now().Version
+		params.Version = c.state.history.Current().Version
 	}
 	c.mu.Unlock()
 	params.Joining = sent.Sub(c.started) < JoinDuration
@@ -80,7 +80,7 @@
 	}
 	now := time.Now()
 	m.update(func(g *peer.Membership) []peer.Envelope {
-		g.Learn(now, got.Members)
+		g.Merge(now, got.Members)
 		return nil
 	})
 	if len(got.Update) > 0 {
@@ -106,7 +106,7 @@
 	began := time.Now()
 	sealed, t, err := peer.CallRPC[[]byte](
 		m.ctx, from, peer.RPC{Method: peer.MethodCatalog, Params: params},
-		transfer.Limits{Begin: timeout, Stall: min(timeout, transfer.DefaultStall)}, &m.pulls,
+		transfer.Limits{FirstByteTimeout: timeout, StallTimeout: min(timeout, transfer.DefaultStallTimeout)}, &m.pulls,
 	)
 	if err != nil && t.Bytes() > 0 {
 		m.logIncomplete(from, t.Bytes(), time.Since(began), err)
@@ -135,24 +135,24 @@
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.engine.LearnGone(got.Gone, now)
+	c.engine.LearnDeregisteredDead(got.Deregistered, now)
 	if got.AsOf.Epoch() < c.state.epoch {
 		return nil // The sender's content predates the restore of the store.
 	}
 	c.observeEpoch(got.AsOf, "Peer", now)
-	if got.Known {
+	if got.Complete {
 		c.applyEvacuations(got.Evacuated, bundleSource{source: "Peer", age: now.Sub(as)}, now)
 		c.confirmEvacuations(as)
 	}
-	if got.Known && got.Version <= version {
+	if got.Complete && got.Version <= version {
 		c.confirmBundleAt(as, got.BundleAsOf)
 	}
-	if got.AsOf < c.state.catalog.AsOf || !got.Listed && !got.Changed {
+	if got.AsOf < c.state.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
 		return c.applyHeldBack(&got.Held, now)
 	}
-	c.state.catalog.DoubtFor(got.Doubt, now)
+	c.state.catalog.SuspectRemovalsFor(got.SuspicionPeriod, now)
 	changed := c.changeCatalog(func() bool {
-		if got.Listed {
+		if got.HasRegistrations {
 			return c.state.catalog.Replace(got.Registrations, got.AsOf, now)
 		}
 		return c.state.catalog.Apply(got.Changes, got.AsOf, now)
@@ -164,25 +164,25 @@
 	resets = append(resets, c.applyHeldBack(&got.Held, now)...)
 	// The changes may not lead to the sender's list, if only one of the two has some entries of the
 	// same revision. Then the whole list is requested next.
-	c.state.needsWholeList = got.Changed && got.Digest != c.state.catalog.Digest()
+	c.state.needsWholeList = got.HasChanges && got.Digest != c.state.catalog.Digest()
 	if c.state.needsWholeList {
 		return resets
 	}
 	c.confirmList(as)
-	if got.Known && got.Version <= version {
-		c.election.Heard(as, false)
+	if got.Complete && got.Version <= version {
+		c.election.Received(as, false)
 	}
 	return resets
 }
 
 // applyHeldBack takes over the upstreams and zones that another daemon holds in place of the
 // store's content. It returns resets for the flows that end by it. c.mu must be held.
-func (c *Carrier) applyHeldBack(h *peer.HeldBack, now time.Time) []cookie.Reset {
+func (c *Carrier) applyHeldBack(h *peer.HeldContent, now time.Time) []cookie.Reset {
 	before := c.state.evacuated.Zones()
-	if c.state.evacuated.HoldBack(h.Zones, h.ZonesFor, now) {
+	if c.state.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
 		c.enforceEvacuations(before, bundleSource{source: "Peer"}, now)
 	}
-	if c.state.catalog.HoldBack(h.Upstreams, h.UpstreamsFor, now) {
+	if c.state.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
 		return c.updateEngine(now)
 	}
 	return nil
@@ -226,9 +226,9 @@
 	defer m.mu.Unlock()
 	switch {
 	case params.Zone != "":
-		return append(m.group.Introductions(params.Zone, 0), m.group.Self())
+		return append(m.group.BootstrapMembers(params.Zone, 0), m.group.Self())
 	case m.group.Digest() != params.MembersDigest:
-		return m.group.Known()
+		return m.group.Members()
 	}
 	return nil
 }
@@ -241,38 +241,38 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := &peer.Catalog{
-		Version: c.state.history.Now().Version, BundleAsOf: c.state.bundleAsOf, Evacuated: c.state.evacuated.Stored,
+		Version: c.state.history.Current().Version, BundleAsOf: c.state.bundleAsOf, Evacuated: c.state.evacuated.Stored,
 	}
 	var update *bundle.Update
 	if out.Version > params.Version {
 		update = c.state.history.Since(params.Version)
 	}
 	if params.Joining {
-		out.Gone = c.engine.Gone()
+		out.Deregistered = c.engine.DeregisteredDead()
 	}
 	out.AsOf, out.Digest = c.state.catalog.AsOf, c.state.catalog.Digest()
-	out.Doubt = c.state.catalog.Doubt(now)
+	out.SuspicionPeriod = c.state.catalog.RemovalSuspicion(now)
 	known := c.state.confirmedAll()
 	if known.IsZero() {
 		return out, update
 	}
-	out.Known, out.Age = true, now.Sub(known)
+	out.Complete, out.Age = true, now.Sub(known)
 	if params.Joining {
-		out.Held.Upstreams, out.Held.UpstreamsFor = c.state.catalog.HeldBack(now)
-		out.Held.Zones, out.Held.ZonesFor = c.state.evacuated.HeldBack(now)
-		out.Changes = c.state.catalog.Remembered()
-		out.Changed = len(out.Changes) > 0
+		out.Held.Upstreams, out.Held.UpstreamsFor = c.state.catalog.HeldEntries(now)
+		out.Held.Zones, out.Held.ZonesFor = c.state.evacuated.HeldZones(now)
+		out.Changes = c.state.catalog.LastKnown()
+		out.HasChanges = len(out.Changes) > 0
 	}
 	if params.AsOf == out.AsOf && params.Digest == c.state.catalog.Digest() || params.AsOf > out.AsOf {
 		return out, update
 	}
-	out.Changed = false
+	out.HasChanges = false
 	if !params.Whole {
 		changes, ok := c.state.catalog.Since(params.AsOf)
-		out.Changes, out.Changed = append(out.Changes, changes...), ok
+		out.Changes, out.HasChanges = append(out.Changes, changes...), ok
 	}
-	if !out.Changed {
-		out.Listed = true
+	if !out.HasChanges {
+		out.HasRegistrations = true
 		out.Registrations = c.state.catalog.List()
 	}
 	return out, update
--- a/internal/process/carrier/command.go
+++ b/internal/process/carrier/command.go
@@ -23,7 +23,7 @@
 	Settings      string `help:"Settings file, JSON with comments." required:"" type:"path"`
 	PrintSettings bool   `help:"Print the settings with their defaults and exit."`
 	// Connect returns the adapters by which the daemon communicates with the platform.
-	Connect func(store *objects.Caller) metadata.Platform `kong:"-"`
+	Connect func(store *objects.Client) metadata.Platform `kong:"-"`
 }
 
 // settingsPeriod is how often the settings file is checked: it may change without a signal.
@@ -48,7 +48,7 @@
 	if err := logs.Setup(w); err != nil {
 		return err
 	}
-	store, closeStore := objects.NewCaller(cfg.Store)
+	store, closeStore := objects.NewClient(cfg.Store)
 	defer closeStore()
 	d, cleanup, err := New(context.WithoutCancel(ctx), cfg, c.Connect(store))
 	if err != nil {
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/carrier/contacts.go
@@ -32,7 +32,7 @@
 // out of date: the seeds name three hosts that existed when the settings were written.
 type contacts struct {
 	c    *Carrier
-	cell objects.Cell[peer.Contacts]
+	cell objects.SingleObject[peer.Contacts]
 	// latest is the object as read last. latestAt is the time at which it was read, epoch the epoch
 	// of the store then.
 	latest   objects.Object[peer.Contacts]
@@ -56,7 +56,7 @@
 
 func (k *contacts) run(ctx context.Context) {
 	pause := aloneDelay
-	if k.c.start.First {
+	if k.c.start.FirstStart {
 		pause = firstStartAloneDelay
 	}
 	for {
@@ -130,7 +130,7 @@
 		k.ping()
 	}
 	v := k.c.members.view.Load()
-	if !v.Outdated(&k.latest.Value) {
+	if !v.ContactsOutdated(&k.latest.Value) {
 		return
 	}
 	next := v.Contacts(&k.latest.Value)
--- a/internal/process/carrier/data_test.go
+++ b/internal/process/carrier/data_test.go
@@ -37,7 +37,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		now := time.Now()
 		c := &Carrier{
-			engine:   cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoned("a", upstream.DefaultChoices)}),
+			engine:   cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoneAware("a", upstream.DefaultChoices)}),
 			start:    newStartup(now, false),
 			pauses:   timer.NewPauses(pauseLimit),
 			logs:     newDecisionLog(1),
@@ -45,7 +45,7 @@
 		}
 		c.cfg.Store(&settings.Cookie{})
 		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), now)
-		c.engine.Confirm(now)
+		c.engine.ConfirmRegistrations(now)
 		c.state.confirm(kindEvacuations, now)
 		c.signalIfReady()
 		c.data = &data{c: c, conn: udp}
--- a/internal/process/carrier/epoch.go
+++ b/internal/process/carrier/epoch.go
@@ -33,7 +33,7 @@
 	before := c.state.catalog.AsOf
 	changed := change()
 	if now := c.state.catalog.AsOf; before != 0 && now.Epoch() != before.Epoch() {
-		older, missing := c.state.catalog.Held()
+		older, missing := c.state.catalog.HeldCounts()
 		klog.InfoS("Upstreams of a restored store", "AsOf", now, "Before", before,
 			"HeldOverOlderEntry", older, "HeldThoughMissing", missing)
 	}
@@ -43,11 +43,11 @@
 // expireHeldUpstreams releases upstreams that the store lacks or has with an older content since
 // its restore, once they have been held for long enough. c.mu must be held.
 func (c *Carrier) expireHeldUpstreams(now time.Time) {
-	older, missing := c.state.catalog.Held()
+	older, missing := c.state.catalog.HeldCounts()
 	if !c.state.catalog.Expire(now) {
 		return
 	}
-	if o, m := c.state.catalog.Held(); o < older {
+	if o, m := c.state.catalog.HeldCounts(); o < older {
 		klog.InfoS("Held upstreams released", "Upstreams", older-o, "MissingGone", missing-m)
 	}
 	// Entries that are removed now end no flow by themselves: their upstreams are probed first.
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/carrier/evacuation.go
@@ -23,9 +23,9 @@
 func (c *Carrier) changeEvacuations(ch objects.Changes[bundle.Zone], now time.Time) {
 	changes := make([]evacuation.Change, 0, len(ch.List))
 	for i := range ch.List {
-		changes = append(changes, evacuation.Change{Zone: evacuatedZone(&ch.List[i].Object), Taken: ch.List[i].Deleted})
+		changes = append(changes, evacuation.Change{Zone: evacuatedZone(&ch.List[i].Object), Lifted: ch.List[i].Deleted})
 	}
-	c.applyStoredEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.After(changes, ch.AsOf) })
+	c.applyStoredEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.WithChanges(changes, ch.AsOf) })
 }
 
 // evacuatedZone returns the zone that an object names. The object's existence is the request,
@@ -50,7 +50,7 @@
 // held.
 func (c *Carrier) applyEvacuations(z evacuation.Zones, from bundleSource, now time.Time) {
 	before := c.state.evacuated.Zones()
-	if c.state.evacuated.Take(z, now) {
+	if c.state.evacuated.Update(z, now) {
 		c.enforceEvacuations(before, from, now)
 	}
 }
@@ -71,7 +71,7 @@
 	if slices.Equal(zones, before) {
 		return
 	}
-	c.engine.Evacuate(zones, now)
+	c.engine.SetEvacuatedZones(zones, now)
 	for _, zone := range zones {
 		if !slices.Contains(before, zone) {
 			c.logEvacuation("Zone evacuated", zone, from)
--- a/internal/process/carrier/follower.go
+++ b/internal/process/carrier/follower.go
@@ -40,7 +40,7 @@
 	objectHandler[T]
 	c    *Carrier
 	kind kind
-	feed objects.Feed[T]
+	feed objects.ListWatcher[T]
 	// failingSince is the time since which calls fail, or zero if they don't.
 	failingSince time.Time
 	// listing is the list in progress, or nil if there is none. fresh is set if the next list must
@@ -48,7 +48,7 @@
 	listing *objects.Listing[T]
 	fresh   bool
 	// stalls counts watches that the store doesn't answer although it answers other calls.
-	stalls objects.Stalls
+	stalls objects.StallDetector
 	// starting reports that the list was begun before the daemon could place flows.
 	starting bool
 	// positionBefore is the position as of which the kind was known when the list in progress was
@@ -59,7 +59,7 @@
 	unusableLimiter, outdatedLimiter *logs.Limiter
 }
 
-func newFollower[T any](c *Carrier, k kind, feed objects.Feed[T], in objectHandler[T]) *follower[T] {
+func newFollower[T any](c *Carrier, k kind, feed objects.ListWatcher[T], in objectHandler[T]) *follower[T] {
 	return &follower[T]{objectHandler: in, c: c, kind: k, feed: feed, unusableLimiter: logs.NewLimiter(unusableLines), outdatedLimiter: newOutdatedLimiter()}
 }
 
@@ -83,7 +83,7 @@
 		switch {
 		case err == nil:
 			asOf, failures, lostHistories = next, 0, 0
-			f.stalls.Watched()
+			f.stalls.RecordAnswered()
 			if changed {
 				f.c.members.advertise(time.Now())
 				sleep(ctx, batchPause)
@@ -128,7 +128,7 @@
 	}
 	f.c.mu.Lock()
 	defer f.c.mu.Unlock()
-	return f.stalls.Stalled(began, f.c.state.answered)
+	return f.stalls.RecordStalled(began, f.c.state.answered)
 }
 
 // step lists or watches once and applies the result. It returns the position to go on from and
@@ -175,7 +175,7 @@
 			return f.position(), nil
 		}
 		if err != nil {
-			f.listing.Failed()
+			f.listing.RecordFailure()
 			return 0, err
 		}
 		f.reportUnusable(p.Findings, p.Objects)
@@ -185,7 +185,7 @@
 	}
 	s := f.listing.Snapshot()
 	late := objects.Changes[T]{AsOf: s.AsOf}
-	if f.listing.Lacks() {
+	if f.listing.NeedsWatch() {
 		ch, err := f.feed.Watch(ctx, s.AsOf, 0)
 		if eris.Is(err, objects.ErrTooLarge) {
 			// The changes since the oldest page only grow. A list of fresh pages lacks none.
@@ -214,7 +214,7 @@
 func (f *follower[T]) page(ctx context.Context) (objects.Page[T], error) {
 	o := f.listing.Next()
 	if f.starting && f.position != nil {
-		o.Hold = func(size int64) bool { return f.c.listStillNeeded(ctx, size) }
+		o.AcceptSize = func(size int64) bool { return f.c.listStillNeeded(ctx, size) }
 	}
 	return f.feed.List(ctx, o)
 }
@@ -280,7 +280,7 @@
 	f.c.mu.Lock()
 	f.c.state.failing, f.c.state.answered = time.Time{}, now
 	if last := f.c.state.confirmed[kindUpstreams]; !last.IsZero() && now.Sub(last) > outageAfter {
-		f.c.state.catalog.StoreReturned(now)
+		f.c.state.catalog.StoreRecovered(now)
 	}
 	f.c.mu.Unlock()
 	if !f.failingSince.IsZero() {
--- a/internal/process/carrier/loads.go
+++ b/internal/process/carrier/loads.go
@@ -110,30 +110,30 @@
 		}
 	}
 	ownLost, lost := m.c.storeLost(now)
-	sum.Sum, sum.Zones, sum.Stamp, sum.StoreLost = true, m.loads.zones(now), m.stamp.Add(1), lost
+	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.stamp.Add(1), lost
 	m.c.applyLoads(sum, now)
 	send(m, protocolReport, m.reports, sum, v.Children(peer.TreeForward, true))
 	own := &peer.Report{From: v.Self, Zones: m.c.ownZone(), StoreLost: ownLost}
-	send(m, protocolReport, m.reports, own, v.OtherReaders())
+	send(m, protocolReport, m.reports, own, v.OtherZoneReaders())
 }
 
 func (c *Carrier) ownZone() []peer.ZoneLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.engine.OwnZone()
+	list := c.engine.OwnZoneLoads()
 	return list[:min(len(list), peer.MaxZones)]
 }
 
 func (m *members) receiveReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
-	if r.StoreLost && m.c.noteStoreLost(now) && !r.Sum {
+	if r.StoreLost && m.c.noteStoreLost(now) && !r.IsSum {
 		m.sendLoads(now) // Its own zone needs this report.
 	}
 	switch {
-	case r.Found:
+	case r.DeadOnly:
 		m.c.probeSuspects(r.Dead, now)
-		m.relayReport(r, v.Audience(false), now)
-	case r.Sum:
+		m.relayReport(r, v.Recipients(false), now)
+	case r.IsSum:
 		m.c.applyLoads(r, now)
 		m.relayReport(r, v.Children(peer.TreeForward, false), now)
 	case len(r.Zones) > 0:
@@ -145,7 +145,7 @@
 
 // relayReport relays a report to the given members, once.
 func (m *members) relayReport(r *peer.Report, to []*peer.Member, now time.Time) {
-	if len(to) > 0 && m.relayed.isNew(r.From, r.Stamp, now) {
+	if len(to) > 0 && m.relayed.isNew(r.From, r.Sequence, now) {
 		send(m, protocolReport, m.reports, r, to)
 	}
 }
@@ -160,7 +160,7 @@
 // applyLoads applies the sum of the zone's loads.
 func (c *Carrier) applyLoads(r *peer.Report, now time.Time) {
 	c.mu.Lock()
-	ejected := c.engine.TakeSum(r, now)
+	ejected := c.engine.ApplyZoneReport(r, now)
 	c.mu.Unlock()
 	for _, id := range ejected {
 		klog.InfoS("Upstream gets no new flows: too many requests fail", "ID", id)
@@ -172,15 +172,15 @@
 // holds: where more fail together, the others have detected some themselves.
 func (m *members) announceDead(ids []bundle.UpstreamID) {
 	v := m.view.Load()
-	r := &peer.Report{From: v.Self, Found: true, Dead: ids[:min(len(ids), peer.MaxDead)], Stamp: m.stamp.Add(1)}
-	send(m, protocolReport, m.reports, r, v.Audience(true))
+	r := &peer.Report{From: v.Self, DeadOnly: true, Dead: ids[:min(len(ids), peer.MaxDead)], Sequence: m.stamp.Add(1)}
+	send(m, protocolReport, m.reports, r, v.Recipients(true))
 }
 
 // probeSuspects probes upstreams that another daemon found dead.
 func (c *Carrier) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
 	c.mu.Lock()
 	for _, id := range ids {
-		c.engine.Hint(id, now)
+		c.engine.ReportedDead(id, now)
 	}
 	due := c.engine.DueProbes(now)
 	c.mu.Unlock()
--- a/internal/process/carrier/start.go
+++ b/internal/process/carrier/start.go
@@ -27,7 +27,7 @@
 // member has started earlier and sends the same content in a third of the bytes. startup is safe
 // for concurrent use.
 type startup struct {
-	peer.Start
+	peer.Startup
 	// ready is set when the daemon can place flows, callersWaiting when a caller's packet has
 	// arrived before that, listIsLarge when the store has a large list of upstreams, and
 	// noLargerMember when there is no larger member to fetch it from.
@@ -36,8 +36,8 @@
 
 func newStartup(began time.Time, first bool) *startup {
 	return &startup{
-		Start: peer.Start{Began: began, First: first},
-		ready: newEvent(), callersWaiting: newEvent(), listIsLarge: newEvent(), noLargerMember: newEvent(),
+		Startup: peer.Startup{StartedAt: began, FirstStart: first},
+		ready:   newEvent(), callersWaiting: newEvent(), listIsLarge: newEvent(), noLargerMember: newEvent(),
 	}
 }
 
@@ -93,7 +93,7 @@
 			m.greetAndFetch(tellers[try%len(tellers)])
 			try++
 		}
-		pause := s.AskPause(rand.Float64())
+		pause := s.RequestDelay(rand.Float64())
 		if len(larger) > 0 {
 			pause = largerMemberPause
 		}
@@ -117,7 +117,7 @@
 		return
 	}
 	s := m.c.start
-	klog.InfoS("Ready", "After", time.Since(s.Began).Round(time.Millisecond),
+	klog.InfoS("Ready", "After", time.Since(s.StartedAt).Round(time.Millisecond),
 		"CallersWaited", s.callersWaiting.isSet(), "LongList", s.listIsLarge.isSet(),
 		"StoreCalls", m.c.platform.Store.Counts.Calls.Load(), "MembersAsked", m.pulls.Begun.Load(),
 		"Rank", m.view.Load().ReaderRank(), "Members", len(m.view.Load().Members))
@@ -125,7 +125,7 @@
 
 // greetAndFetch introduces this daemon to another one and fetches that one's catalog.
 func (m *members) greetAndFetch(to netip.AddrPort) {
-	m.update(func(g *peer.Membership) []peer.Envelope { return g.Greet(to) })
+	m.update(func(g *peer.Membership) []peer.Envelope { return g.PingAddress(to) })
 	if err := m.fetch(to, startFetchTimeout); err != nil {
 		klog.V(1).InfoS("Catalog not fetched from member", "Member", to, "Error", err)
 	}
@@ -134,7 +134,7 @@
 // catalogSources returns the RPC addresses of members from which a starting daemon fetches a
 // catalog, see peer.View.Tellers.
 func (m *members) catalogSources() []netip.AddrPort {
-	list := m.view.Load().Tellers()
+	list := m.view.Load().CatalogSources()
 	out := make([]netip.AddrPort, 0, len(list))
 	for _, o := range list {
 		out = append(out, o.RPC)
@@ -150,7 +150,7 @@
 	self := v.Member(v.Self)
 	var out []netip.AddrPort
 	for _, o := range v.ZoneMembers() {
-		if peer.Tells(o.Size, self.Size) {
+		if peer.IsLargerSource(o.Size, self.Size) {
 			out = append(out, o.RPC)
 		}
 	}
@@ -165,7 +165,7 @@
 		klog.InfoS("No contacts in the store", "Error", err.Error())
 		return nil
 	}
-	return o.Value.Larger(self.Zone, self.Size)
+	return o.Value.LargerInZone(self.Zone, self.Size)
 }
 
 // listStillNeeded is called before a list of upstreams is read from the store, once its size in
--- a/internal/process/carrier/status.go
+++ b/internal/process/carrier/status.go
@@ -37,7 +37,7 @@
 // storeStatus returns as of when the store's content is known. c.mu must be held.
 func (c *Carrier) storeStatus(now time.Time) *status.StoreStatus {
 	out := &status.StoreStatus{Epoch: c.state.epoch, EpochSince: c.state.epochSince}
-	out.HeldOverOlder, out.HeldThoughMissing = c.state.catalog.Held()
+	out.HeldOverOlder, out.HeldThoughMissing = c.state.catalog.HeldCounts()
 	for k := range numKinds {
 		out.Kinds = append(out.Kinds, status.StoreKindStatus{
 			Kind: k.String(), AsOf: c.state.position(k).String(), Age: now.Sub(c.state.confirmed[k]).Seconds(),
--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -42,8 +42,8 @@
 	v := c.members.view.Load()
 	rank := v.ReaderRank()
 	if !c.start.ready.isSet() {
-		return c.start.Reads(peer.Newcomer{
-			CallersWait: c.start.callersWaiting.isSet(), MetServing: c.members.metServing(),
+		return c.start.ShouldRead(peer.StartupState{
+			CallersWaiting: c.start.callersWaiting.isSet(), ServingMemberSeen: c.members.metServing(),
 			Rank: rank, Others: len(v.Members) - 1,
 		}, now)
 	}
@@ -60,7 +60,7 @@
 	if !c.canPlaceFlowsLocked() {
 		return false
 	}
-	return c.election.Reads(c.start.ReaderRank(rank, now), now)
+	return c.election.ShouldRead(c.start.ReaderRank(rank, now), now)
 }
 
 func (c *Carrier) listUpstreams(s objects.Snapshot[registry.Registration], now time.Time) {
@@ -75,7 +75,7 @@
 
 // noteOwnRead records that this daemon itself has read the store. It needn't read again unless it
 // receives nothing newer from others in time. c.mu must be held.
-func (c *Carrier) noteOwnRead() { c.election.Heard(c.state.confirmedAll(), false) }
+func (c *Carrier) noteOwnRead() { c.election.Received(c.state.confirmedAll(), false) }
 
 // noteStoreFailure records a failed call of the store. The first time, it announces the failure
 // immediately: the others receive no advertisements meanwhile, and would read the store themselves.
@@ -94,8 +94,8 @@
 func (c *Carrier) noteStoreLost(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.election.StoreIsLost(now)
-	c.election.StoreLost(now)
+	known := c.election.StoreReportedLost(now)
+	c.election.ReportStoreLost(now)
 	return !known
 }
 
@@ -109,7 +109,7 @@
 		return false, false
 	}
 	own = !c.state.failing.IsZero() && now.Sub(c.state.failing) < storeFailureTTL
-	return own, own || c.election.StoreIsLost(now) || now.Sub(c.state.confirmedAll()) > maxAdvertisedAge
+	return own, own || c.election.StoreReportedLost(now) || now.Sub(c.state.confirmedAll()) > maxAdvertisedAge
 }
 
 // storeFailureTTL is how long a failed call counts: longer than the pause of the first-ranked
@@ -158,7 +158,7 @@
 	changes := make([]registry.Change, 0, len(ch.List))
 	for i := range ch.List {
 		if r := registrationOf(&ch.List[i].Object); r.ID != 0 {
-			changes = append(changes, registry.Change{Registration: r, Gone: ch.List[i].Deleted})
+			changes = append(changes, registry.Change{Registration: r, Removed: ch.List[i].Deleted})
 		}
 	}
 	c.applyStoredUpstreams(ch.AsOf, now, func() bool { return c.state.catalog.Apply(changes, ch.AsOf, now) })
@@ -184,6 +184,6 @@
 // confirmList records the time as of which the list of upstreams is known. c.mu must be held.
 func (c *Carrier) confirmList(at time.Time) {
 	c.state.confirm(kindUpstreams, at)
-	c.engine.Confirm(at)
+	c.engine.ConfirmRegistrations(at)
 	c.signalIfReady()
 }
--- a/internal/process/carrier/store_test.go
+++ b/internal/process/carrier/store_test.go
@@ -19,17 +19,17 @@
 	It("doesn't follow the store, nor right after it has received everything", func() {
 		now := time.Unix(1_000_000, 0)
 		c := &Carrier{
-			engine: cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoned("a", upstream.DefaultChoices)}),
+			engine: cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoneAware("a", upstream.DefaultChoices)}),
 			start:  newStartup(now, true),
 		}
 		const rank = 9
 		Expect(c.followsStore(rank, now.Add(500*time.Millisecond))).To(BeFalse())
 		receivedAt := now.Add(time.Second)
 		c.engine.SetRouting(bundle.NewRouting(1, &bundle.Bundle{}, nil), receivedAt)
-		c.engine.Confirm(receivedAt)
+		c.engine.ConfirmRegistrations(receivedAt)
 		Expect(c.followsStore(rank, receivedAt.Add(3*time.Second))).To(BeFalse(), "the evacuated zones aren't known")
 		c.state.confirm(kindEvacuations, receivedAt)
-		c.election.Heard(receivedAt, false)
+		c.election.Received(receivedAt, false)
 		Expect(c.followsStore(rank, receivedAt)).To(BeFalse())
 		Expect(c.followsStore(rank, receivedAt.Add(3*time.Second))).To(BeTrue(), "it receives nothing more")
 	})
