--- a/internal/process/carrier/advertisement.go
+++ b/internal/process/carrier/advertisement.go
@@ -68,14 +68,14 @@
 func (m *members) sendAdvertisement(origin peer.ID, to []*peer.Member, now time.Time) {
 	c := m.c
 	c.mu.Lock()
-	as := c.state.confirmedAll()
-	if now.Sub(as) > maxAdvertisedAge {
+	confirmed := c.state.confirmedAll()
+	if now.Sub(confirmed) > maxAdvertisedAge {
 		c.mu.Unlock()
 		return
 	}
 	n := &peer.Advertisement{
 		From:            origin,
-		Age:             now.Sub(as),
+		Age:             now.Sub(confirmed),
 		SuspicionPeriod: c.state.catalog.RemovalSuspicion(now),
 		BundleAsOf:      c.state.bundleAsOf,
 		AsOf:            c.state.catalog.AsOf,
@@ -98,7 +98,7 @@
 	if n.From == v.Self {
 		return // This daemon's own advertisement, relayed back while members' views differ.
 	}
-	as := now.Add(-n.Age)
+	confirmed := now.Add(-n.Age)
 	c := m.c
 	version := c.inForce.Version()
 	c.mu.Lock()
@@ -114,19 +114,19 @@
 		resets = c.updateEngine(now)
 	}
 	if n.Evacuated.Complete() {
-		c.applyEvacuations(n.Evacuated.Zones, bundleSource{source: "News", name: from.String(), age: n.Age}, now)
+		c.applyEvacuations(n.Evacuated.Zones, contentSource{source: "News", name: from.String(), age: n.Age}, now)
 	}
 	lacksBundle, lacksList := n.MissingFrom(version, c.state.catalog.AsOf, c.state.catalog.Digest())
 	lacksEvacuated := n.Evacuated.MissingFrom(&c.state.evacuated.Stored)
 	if !lacksList {
-		c.confirmList(as)
+		c.confirmList(confirmed)
 	}
 	if !lacksEvacuated {
-		c.confirmEvacuations(as)
+		c.confirmEvacuations(confirmed)
 	}
 	if !lacksList && !lacksBundle && !lacksEvacuated {
-		c.election.Received(as, v.RanksBefore(n.From))
-		c.confirmBundleAt(as, n.BundleAsOf)
+		c.election.Received(confirmed, v.RanksBefore(n.From))
+		c.confirmBundleAt(confirmed, n.BundleAsOf)
 	}
 	c.mu.Unlock()
 	c.data.resets(resets)
--- a/internal/process/carrier/bundle.go
+++ b/internal/process/carrier/bundle.go
@@ -41,14 +41,14 @@
 }
 
 func (c *Carrier) applyStoredBundle(o *objects.Object[bundle.Accepted]) {
-	from := bundleSource{source: "Store", name: o.Name}
+	from := contentSource{source: "Store", name: o.Name}
 	c.applyBundle(o.Value.Version, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		return o.Value, updateFrom(now, o.Value), nil
 	})
 }
 
 // applyUpdate puts a bundle in force that another daemon sent as an update from an earlier bundle.
-func (c *Carrier) applyUpdate(u *bundle.Update, from bundleSource) {
+func (c *Carrier) applyUpdate(u *bundle.Update, from contentSource) {
 	c.applyBundle(u.To, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		a, err := u.Apply(now)
 		if err != nil || u.From != 0 {
@@ -67,8 +67,8 @@
 	return bundle.Diff(now, to)
 }
 
-// bundleSource describes where a bundle came from, for the log.
-type bundleSource struct {
+// contentSource describes where a bundle or a set of evacuations came from, for the log.
+type contentSource struct {
 	source, name string
 	age          time.Duration
 }
@@ -76,7 +76,7 @@
 // applyBundle puts a bundle in force if it is newer than the present one. next builds it from the
 // present one, and returns with it the update that leads there, or nil if there was no bundle.
 func (c *Carrier) applyBundle(
-	v bundle.Version, from bundleSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
+	v bundle.Version, from contentSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
 ) {
 	routes, changed := 0, 0
 	taken, err := c.inForce.ApplyIfNewer(v, func() error {
@@ -115,17 +115,17 @@
 // bundle in force, the whole bundle is requested next: this daemon then holds a different bundle
 // under the version number that the update starts from, as after the store was restored from a
 // copy, and no later update would ever apply.
-func (c *Carrier) refuseBundle(v bundle.Version, from bundleSource, err error) {
+func (c *Carrier) refuseBundle(v bundle.Version, from contentSource, err error) {
 	klog.ErrorS(err, "Bundle refused", "Version", v, "Source", from.source, "Name", from.name)
 	if eris.Is(err, bundle.ErrUpdateMismatch) {
 		c.setNeedsWholeBundle(true)
 	}
 }
 
-func (c *Carrier) setNeedsWholeBundle(lacks bool) {
+func (c *Carrier) setNeedsWholeBundle(needed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.needsWholeBundle = lacks
+	c.state.needsWholeBundle = needed
 }
 
 // bundleInForce returns the bundle in force, or the zero value if there is none.
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -56,11 +56,11 @@
 	outdatedAnswers outdatedCounts
 
 	// mu guards the fields below.
-	mu             sync.Mutex
-	engine         *cookie.Engine
-	warmupLimiters *peer.WarmupLimiter
-	election       peer.ReaderElection
-	state          storeState
+	mu            sync.Mutex
+	engine        *cookie.Engine
+	warmupLimiter *peer.WarmupLimiter
+	election      peer.ReaderElection
+	state         storeState
 	// lastOrigin is the daemon from which the last received advertisement originates. lastRelayed
 	// summarizes the last advertisement that this daemon relayed.
 	lastOrigin  peer.ID
@@ -78,9 +78,9 @@
 		state:    storeState{catalog: registry.NewCatalog()},
 	}
 	c.start = newStartup(c.started, cfg.FirstStart)
-	c.warmupLimiters = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), c.started.Add(JoinDuration))
+	c.warmupLimiter = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), c.started.Add(JoinDuration))
 	c.engine = cookie.NewEngine(cookie.Options{
-		WarmupLimiter: c.warmupLimiters,
+		WarmupLimiter: c.warmupLimiter,
 		Zone:          cfg.Zone,
 		Regions:       cfg.Regions,
 		Policy:        upstream.NewZoneAware(cfg.Zone, upstream.DefaultChoices),
@@ -193,13 +193,13 @@
 // sweep expires flows and sends this daemon's loads and advertisement.
 func (c *Carrier) sweep(now time.Time) {
 	c.mu.Lock()
-	c.warmupLimiters.Update(c.members.view.Load(), now)
+	c.warmupLimiter.Update(c.members.view.Load(), now)
 	c.engine.Expire(now)
 	c.mu.Unlock()
 	c.members.sendLoads(now)
 	c.members.advertise(now)
 	c.members.relayed.expire(now)
-	c.members.changes.sum(c.Members(), now)
+	c.members.changes.logSummaries(c.Members(), now)
 }
 
 // sendLoadsEagerly sends loads at a shorter period for a while after the start.
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/carrier/carrier_test.go
@@ -23,9 +23,9 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// waitTimeout bounds each wait for a condition. It is far more than a test takes; the duration
+// maxWait bounds each wait for a condition. It is far more than a test takes; the duration
 // itself isn't checked.
-const waitTimeout = 30 * time.Second
+const maxWait = 30 * time.Second
 
 // node is a balancer in this process.
 type node struct {
@@ -86,8 +86,8 @@
 		nodes = append(nodes, startNode(w, h))
 	}
 	for _, n := range nodes {
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
-		Eventually(n.Members, waitTimeout).Should(Equal(len(nodes)))
+		Eventually(n.Ready, maxWait).Should(BeTrue())
+		Eventually(n.Members, maxWait).Should(Equal(len(nodes)))
 	}
 	return nodes
 }
@@ -107,7 +107,7 @@
 	It("forward callers' flows, with each answer going to its own request", func() {
 		w := newWorld(3)
 		startAll(w)
-		Eventually(w.Router.InRotation, waitTimeout).Should(Equal(3))
+		Eventually(w.Router.InRotation, maxWait).Should(Equal(3))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		tallies, err := w.Work(ctx)
@@ -129,13 +129,13 @@
 		nodes := startAll(w)
 		// Right after the start every daemon still reads the store. If all of them were cut off,
 		// none could receive the bundle. Later a single one reads for all zones.
-		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		for _, n := range nodes {
 			if n.ReadsStore() {
 				n.host.Proxy.Set(world.LinkSilent)
 			}
 		}
-		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
+		Eventually(inForce(nodes, w.Roll()), maxWait).Should(BeTrue())
 	})
 
 	// All daemons of a zone lose the store together, as when the zone's switch loses its path to
@@ -153,7 +153,7 @@
 		Expect(cut).To(Equal(2))
 		// The catalogs that daemons fetch once after their start must not help.
 		time.Sleep(carrier.JoinDuration)
-		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
+		Eventually(inForce(nodes, w.Roll()), maxWait).Should(BeTrue())
 	})
 
 	// All hosts start together after a power loss, and the store refuses calls over its rate.
@@ -163,7 +163,7 @@
 		w.Store.SetTrouble(metadata.Trouble{ServeOneOf: 4})
 		for _, h := range w.Hosts {
 			n := startNode(w, h)
-			Eventually(n.Ready, waitTimeout).Should(BeTrue())
+			Eventually(n.Ready, maxWait).Should(BeTrue())
 			Expect(n.Upstreams()).To(Equal(12))
 		}
 	})
@@ -178,7 +178,7 @@
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		w.Store.Forget()
 		for _, n := range nodes {
-			Eventually(n.Upstreams, waitTimeout).Should(Equal(13))
+			Eventually(n.Upstreams, maxWait).Should(Equal(13))
 		}
 	})
 
@@ -189,7 +189,7 @@
 		w.Store.Lag()
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(13))
 	})
 
@@ -201,7 +201,7 @@
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		w.Store.Forget()
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(13))
 	})
 
@@ -211,11 +211,11 @@
 		w := newWorld(3)
 		w.Store.Put(wire.KindServers, "i-0000000001", &wire.Server{Service: world.ServiceFeed})
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(12))
 		w.Store.Put(wire.KindServers, "i-0000000002", "neither can this")
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
-		Eventually(n.Upstreams, waitTimeout).Should(Equal(13))
+		Eventually(n.Upstreams, maxWait).Should(Equal(13))
 	})
 
 	// Another writer replaces upstreams' entries while the balancers run. Balancers that don't read
@@ -225,22 +225,22 @@
 		nodes := startAll(w)
 		names, restore := w.ReplaceEntries(11)
 		Expect(names).To(HaveLen(11))
-		takes := func(n *node) func() int {
+		available := func(n *node) func() int {
 			return func() int { return n.AvailableUpstreams() }
 		}
 		for _, n := range nodes {
-			Eventually(takes(n), waitTimeout).Should(Equal(1))
+			Eventually(available(n), maxWait).Should(Equal(1))
 			Expect(n.Upstreams()).To(Equal(12), "open flows go on")
 		}
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		late := startNode(w, h)
-		Eventually(late.Ready, waitTimeout).Should(BeTrue())
+		Eventually(late.Ready, maxWait).Should(BeTrue())
 		Expect(late.AvailableUpstreams()).To(Equal(1))
-		Eventually(late.Upstreams, waitTimeout).Should(Equal(12), "others send it the registrations known before")
+		Eventually(late.Upstreams, maxWait).Should(Equal(12), "others send it the registrations known before")
 		restore()
 		for _, n := range append(nodes, late) {
-			Eventually(takes(n), waitTimeout).Should(Equal(12))
+			Eventually(available(n), maxWait).Should(Equal(12))
 		}
 	})
 
@@ -251,7 +251,7 @@
 		startAll(w)
 		const kind, name = "fescueshed-contacts", "main"
 		w.Store.Put(kind, name, "not contacts")
-		Eventually(func() string { return w.Store.Content(kind, name) }, waitTimeout).Should(ContainSubstring("host-1"))
+		Eventually(func() string { return w.Store.Content(kind, name) }, maxWait).Should(ContainSubstring("host-1"))
 	})
 
 	// All hosts that the settings name as seeds were replaced. Guards against a new host that stays
@@ -265,7 +265,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		h.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.9.9:9")}
 		n := startNode(w, h)
-		Eventually(n.Members, waitTimeout).Should(Equal(4))
+		Eventually(n.Members, maxWait).Should(Equal(4))
 	})
 
 	// A host starts while the store is down. Guards against forwarding first packets that waited in
@@ -286,7 +286,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		time.Sleep(500 * time.Millisecond)
 		h.Proxy.Set(world.LinkGood)
-		Eventually(func() string { return metricsOf(n) }, waitTimeout).Should(
+		Eventually(func() string { return metricsOf(n) }, maxWait).Should(
 			ContainSubstring(`fescueshed_packets_dropped_total{cause="StaleOpen"} 1`))
 	})
 
@@ -299,7 +299,7 @@
 		v := w.Roll()
 		w.Store.Forget()
 		w.Store.SetTrouble(metadata.Trouble{})
-		Eventually(inForce(nodes, v), waitTimeout).Should(BeTrue())
+		Eventually(inForce(nodes, v), maxWait).Should(BeTrue())
 	})
 
 	// A new host's credentials for the store were revoked: it never gets an answer there. Guards
@@ -312,19 +312,19 @@
 			nodes = append(nodes, startNode(w, h))
 		}
 		for _, n := range nodes {
-			Eventually(n.Ready, waitTimeout).Should(BeTrue())
+			Eventually(n.Ready, maxWait).Should(BeTrue())
 		}
 		rejected := startNode(w, w.Hosts[3])
-		Eventually(rejected.Ready, waitTimeout).Should(BeTrue())
+		Eventually(rejected.Ready, maxWait).Should(BeTrue())
 		Expect(rejected.Upstreams()).To(Equal(nodes[0].Upstreams()))
-		Eventually(inForce([]*node{rejected}, w.Roll()), waitTimeout).Should(BeTrue())
+		Eventually(inForce([]*node{rejected}, w.Roll()), maxWait).Should(BeTrue())
 	})
 
 	It("don't call the store more often when there are more of them", func() {
 		callsWith := func(hosts int) int {
 			w := newWorld(hosts)
 			nodes := startAll(w)
-			Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+			Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 			before := w.Store.Calls()
 			time.Sleep(2 * time.Second)
 			return w.Store.Calls() - before
@@ -343,14 +343,14 @@
 		changed.Store = "http://127.0.0.9:1"
 		changed.Zone = "elsewhere"
 		n.Reload(&changed)
-		Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue(), "the old settings are in force")
+		Eventually(inForce(nodes, w.Roll()), maxWait).Should(BeTrue(), "the old settings are in force")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			n.Leave()
 		}()
-		Eventually(n.Ready, waitTimeout).Should(BeFalse())
-		Eventually(done, waitTimeout).Should(BeClosed())
+		Eventually(n.Ready, maxWait).Should(BeFalse())
+		Eventually(done, maxWait).Should(BeClosed())
 	})
 
 	It("serve metrics", func() {
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -57,7 +57,7 @@
 }
 
 // fetch requests from another daemon what this one lacks: a newer bundle, changed upstreams,
-// members, and removed upstreams. timeout bounds the time until the answer begins.
+// members, and deregistered upstreams. timeout bounds the time until the answer begins.
 func (m *members) fetch(from netip.AddrPort, timeout time.Duration) error {
 	sent := time.Now()
 	c := m.c
@@ -72,9 +72,9 @@
 		params.Zone = c.cfg.Load().Zone
 	}
 	m.mu.Lock()
-	params.MembersDigest = m.group.Digest()
+	params.MembersDigest = m.membership.Digest()
 	m.mu.Unlock()
-	got, err := m.askCatalog(from, params, timeout)
+	got, err := m.requestCatalog(from, params, timeout)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		c.applyUpdate(u, bundleSource{source: "Peer", name: from.String(), age: got.Age})
+		c.applyUpdate(u, contentSource{source: "Peer", name: from.String(), age: got.Age})
 	}
 	c.data.resets(c.applyCatalog(got, sent.Add(-got.Age), now))
 	m.advertise(now)
@@ -99,10 +99,10 @@
 	return nil
 }
 
-// askCatalog requests a catalog from another daemon. It logs an answer that breaks off with the
+// requestCatalog requests a catalog from another daemon. It logs an answer that breaks off with the
 // number of bytes received: they must be transferred once more, over a link that may have caused
 // the break.
-func (m *members) askCatalog(from netip.AddrPort, params peer.CatalogParams, timeout time.Duration) (*peer.Catalog, error) {
+func (m *members) requestCatalog(from netip.AddrPort, params peer.CatalogParams, timeout time.Duration) (*peer.Catalog, error) {
 	began := time.Now()
 	sealed, t, err := peer.CallRPC[[]byte](
 		m.ctx, from, peer.RPC{Method: peer.MethodCatalog, Params: params},
@@ -129,9 +129,9 @@
 	}
 }
 
-// applyCatalog applies a catalog that another daemon held as of a given time. It returns resets for
-// the flows that end by it.
-func (c *Carrier) applyCatalog(got *peer.Catalog, as, now time.Time) []cookie.Reset {
+// applyCatalog applies a catalog that another daemon held as of the time confirmed. It returns
+// resets for the flows that end by it.
+func (c *Carrier) applyCatalog(got *peer.Catalog, confirmed, now time.Time) []cookie.Reset {
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,14 +141,14 @@
 	}
 	c.observeEpoch(got.AsOf, "Peer", now)
 	if got.Complete {
-		c.applyEvacuations(got.Evacuated, bundleSource{source: "Peer", age: now.Sub(as)}, now)
-		c.confirmEvacuations(as)
+		c.applyEvacuations(got.Evacuated, contentSource{source: "Peer", age: now.Sub(confirmed)}, now)
+		c.confirmEvacuations(confirmed)
 	}
 	if got.Complete && got.Version <= version {
-		c.confirmBundleAt(as, got.BundleAsOf)
+		c.confirmBundleAt(confirmed, got.BundleAsOf)
 	}
 	if got.AsOf < c.state.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
-		return c.applyHeldBack(&got.Held, now)
+		return c.applyHeld(&got.Held, now)
 	}
 	c.state.catalog.SuspectRemovalsFor(got.SuspicionPeriod, now)
 	changed := c.changeCatalog(func() bool {
@@ -161,26 +161,26 @@
 	if changed {
 		resets = c.updateEngine(now)
 	}
-	resets = append(resets, c.applyHeldBack(&got.Held, now)...)
+	resets = append(resets, c.applyHeld(&got.Held, now)...)
 	// The changes may not lead to the sender's list, if only one of the two has some entries of the
 	// same revision. Then the whole list is requested next.
 	c.state.needsWholeList = got.HasChanges && got.Digest != c.state.catalog.Digest()
 	if c.state.needsWholeList {
 		return resets
 	}
-	c.confirmList(as)
+	c.confirmList(confirmed)
 	if got.Complete && got.Version <= version {
-		c.election.Received(as, false)
+		c.election.Received(confirmed, false)
 	}
 	return resets
 }
 
-// applyHeldBack takes over the upstreams and zones that another daemon holds in place of the
+// applyHeld takes over the upstreams and zones that another daemon holds in place of the
 // store's content. It returns resets for the flows that end by it. c.mu must be held.
-func (c *Carrier) applyHeldBack(h *peer.HeldContent, now time.Time) []cookie.Reset {
+func (c *Carrier) applyHeld(h *peer.HeldContent, now time.Time) []cookie.Reset {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
-		c.enforceEvacuations(before, bundleSource{source: "Peer"}, now)
+		c.enforceEvacuations(before, contentSource{source: "Peer"}, now)
 	}
 	if c.state.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
 		return c.updateEngine(now)
@@ -226,9 +226,9 @@
 	defer m.mu.Unlock()
 	switch {
 	case params.Zone != "":
-		return append(m.group.BootstrapMembers(params.Zone, 0), m.group.Self())
-	case m.group.Digest() != params.MembersDigest:
-		return m.group.Members()
+		return append(m.membership.BootstrapMembers(params.Zone, 0), m.membership.Self())
+	case m.membership.Digest() != params.MembersDigest:
+		return m.membership.Members()
 	}
 	return nil
 }
@@ -252,11 +252,11 @@
 	}
 	out.AsOf, out.Digest = c.state.catalog.AsOf, c.state.catalog.Digest()
 	out.SuspicionPeriod = c.state.catalog.RemovalSuspicion(now)
-	known := c.state.confirmedAll()
-	if known.IsZero() {
+	confirmed := c.state.confirmedAll()
+	if confirmed.IsZero() {
 		return out, update
 	}
-	out.Complete, out.Age = true, now.Sub(known)
+	out.Complete, out.Age = true, now.Sub(confirmed)
 	if params.Joining {
 		out.Held.Upstreams, out.Held.UpstreamsFor = c.state.catalog.HeldEntries(now)
 		out.Held.Zones, out.Held.ZonesFor = c.state.evacuated.HeldZones(now)
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/carrier/contacts.go
@@ -13,7 +13,7 @@
 
 const (
 	// aloneDelay is how long a daemon that knows no other one waits before it reads the contacts in
-	// the store: the seeds had three chances to answer. Soon after, peer.Start.ReaderRank lets it
+	// the store: the seeds had three chances to answer. Soon after, peer.Startup.ReaderRank lets it
 	// follow the store as one that is alone, at some two calls a second. The pause before the next
 	// read doubles up to maxAloneDelay, since a system of a single host stays alone.
 	aloneDelay    = 700 * time.Millisecond
@@ -31,8 +31,8 @@
 // contacts maintains the object in the store by which daemons find each other when their seeds are
 // out of date: the seeds name three hosts that existed when the settings were written.
 type contacts struct {
-	c    *Carrier
-	cell objects.SingleObject[peer.Contacts]
+	c      *Carrier
+	object objects.SingleObject[peer.Contacts]
 	// latest is the object as read last. latestAt is the time at which it was read, epoch the epoch
 	// of the store then.
 	latest   objects.Object[peer.Contacts]
@@ -42,7 +42,7 @@
 
 func (c *Carrier) startContacts(ctx context.Context) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
-	k := &contacts{c: c, cell: c.platform.Contacts}
+	k := &contacts{c: c, object: c.platform.Contacts}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -95,7 +95,7 @@
 // read fetches the contacts. Contacts that can't be decoded count as empty, so that the daemon that
 // maintains them replaces them.
 func (k *contacts) read(ctx context.Context) error {
-	o, err := k.cell.Get(ctx)
+	o, err := k.object.Get(ctx)
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	next := v.Contacts(&k.latest.Value)
-	if err := k.cell.Put(ctx, next, k.latest.Revision); err != nil {
+	if err := k.object.Put(ctx, next, k.latest.Revision); err != nil {
 		klog.InfoS("Contacts not replaced", "Revision", k.latest.Revision, "Error", err.Error())
 	} else {
 		klog.InfoS("Contacts replaced", "Members", len(next.Members), "Revision", k.latest.Revision)
--- a/internal/process/carrier/data.go
+++ b/internal/process/carrier/data.go
@@ -88,12 +88,12 @@
 	if d.c.start.ready.isSet() {
 		return false, true
 	}
-	came := time.Now()
+	arrived := time.Now()
 	d.c.start.callersWaiting.set()
 	if !d.c.awaitReady(ctx) {
 		return false, false
 	}
-	return time.Since(came) > maxFirstPacketWait, true
+	return time.Since(arrived) > maxFirstPacketWait, true
 }
 
 func (d *data) paused(now time.Time) {
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/carrier/evacuation.go
@@ -39,7 +39,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	z := next(&c.state.evacuated.Stored)
-	c.applyEvacuations(z, bundleSource{source: "Store"}, now)
+	c.applyEvacuations(z, contentSource{source: "Store"}, now)
 	if z.AsOf >= c.state.evacuated.Stored.AsOf {
 		c.confirmEvacuations(now)
 	}
@@ -48,7 +48,7 @@
 
 // applyEvacuations applies evacuated zones unless those of a later position are held. c.mu must be
 // held.
-func (c *Carrier) applyEvacuations(z evacuation.Zones, from bundleSource, now time.Time) {
+func (c *Carrier) applyEvacuations(z evacuation.Zones, from contentSource, now time.Time) {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.Update(z, now) {
 		c.enforceEvacuations(before, from, now)
@@ -60,13 +60,13 @@
 func (c *Carrier) expireEvacuations(now time.Time) {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.Expire(now) {
-		c.enforceEvacuations(before, bundleSource{source: "StoreRestored"}, now)
+		c.enforceEvacuations(before, contentSource{source: "StoreRestored"}, now)
 	}
 }
 
 // enforceEvacuations makes the engine use the evacuated zones in force, and logs the differences
 // from before. c.mu must be held.
-func (c *Carrier) enforceEvacuations(before []bundle.Zone, from bundleSource, now time.Time) {
+func (c *Carrier) enforceEvacuations(before []bundle.Zone, from contentSource, now time.Time) {
 	zones := c.state.evacuated.Zones()
 	if slices.Equal(zones, before) {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-func (c *Carrier) logEvacuation(what string, zone bundle.Zone, from bundleSource) {
+func (c *Carrier) logEvacuation(what string, zone bundle.Zone, from contentSource) {
 	klog.InfoS(what, "Zone", zone, "AsOf", c.state.evacuated.Stored.AsOf, "Source", from.source, "Name", from.name,
 		"Age", from.age, "Flows", c.engine.FlowsIn(zone))
 }
--- a/internal/process/carrier/evacuation_test.go
+++ b/internal/process/carrier/evacuation_test.go
@@ -35,11 +35,11 @@
 		w := newWorld(6)
 		nodes := startAll(w)
 		w.Evacuate("zone-2")
-		Eventually(evacuatedAt(nodes, "zone-2"), waitTimeout).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-2"), maxWait).Should(BeTrue())
 		w.Evacuate("zone-1")
 		w.TakeBack("zone-2")
-		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
-		Eventually(w.Router.InRotation, waitTimeout).Should(Equal(6))
+		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
+		Eventually(w.Router.InRotation, maxWait).Should(Equal(6))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		tallies, err := w.Work(ctx)
@@ -55,10 +55,11 @@
 			Expect(metricsOf(n)).To(ContainSubstring(`fescueshed_zone_evacuated{zone="zone-1"} 1`))
 		}
 		w.TakeBack("zone-1")
-		Eventually(evacuatedAt(nodes), waitTimeout).Should(BeTrue())
+		Eventually(evacuatedAt(nodes), maxWait).Should(BeTrue())
 	})
 
-	// The store doesn't answer a starting host at all.
+	// All upstreams of a small host are in the evacuated zone, and the store doesn't answer that
+	// host.
 	It("know the evacuation before they are ready, from other balancers alone", func() {
 		w := newWorld(3)
 		startAll(w)
@@ -67,8 +68,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		h.Proxy.Set(world.LinkSilent)
 		n := startNode(w, h)
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
-		Eventually(n.Evacuated, waitTimeout).Should(Equal([]bundle.Zone{"zone-3"}))
+		Eventually(n.Ready, maxWait).Should(BeTrue())
+		Eventually(n.Evacuated, maxWait).Should(Equal([]bundle.Zone{"zone-3"}))
 	})
 
 	It("know the evacuation before they are ready, from the store alone", func() {
@@ -76,21 +77,21 @@
 		w.Evacuate("zone-3")
 		w.Hosts[0].Seeds = unusedSeeds
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Evacuated()).To(Equal([]bundle.Zone{"zone-3"}))
 	})
 
 	It("receive the evacuation while the store reader is cut off from the store", func() {
 		w := newWorld(6)
 		nodes := startAll(w)
-		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		for _, n := range nodes {
 			if n.ReadsStore() {
 				n.host.Proxy.Set(world.LinkSilent)
 			}
 		}
 		w.Evacuate("zone-1")
-		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
 	})
 
 	It("receive the evacuation while a whole zone is cut off from the others", func() {
@@ -98,7 +99,7 @@
 		nodes := startAll(w)
 		w.CutZone("zone-3", time.Minute)
 		w.Evacuate("zone-1")
-		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
 	})
 
 	It("receive the evacuation when the store's watches missed it and its history is dropped", func() {
@@ -108,19 +109,19 @@
 		w.Evacuate("zone-1")
 		w.Store.Forget()
 		w.Store.SetTrouble(metadata.Trouble{})
-		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
 	})
 
 	It("keep the evacuation while the store is down, and send it to starting balancers", func() {
 		w := newWorld(4)
 		nodes := startAll(w)
 		w.Evacuate("zone-1")
-		Eventually(evacuatedAt(nodes, "zone-1"), waitTimeout).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
 		w.Store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		late := startNode(w, h)
-		Eventually(late.Ready, waitTimeout).Should(BeTrue())
+		Eventually(late.Ready, maxWait).Should(BeTrue())
 		Consistently(evacuatedAt(append(nodes, late), "zone-1"), time.Second).Should(BeTrue())
 	})
 
@@ -129,10 +130,10 @@
 	It("use an entry's name, whatever its content", func() {
 		w := newWorld(1)
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		w.Store.Put(wire.KindEvacuations, "zone-2", []int{17})
 		w.Store.Put(wire.KindEvacuations, "no zone of ours", nil)
-		Eventually(n.Evacuated, waitTimeout).Should(Equal([]bundle.Zone{"no zone of ours", "zone-2"}))
+		Eventually(n.Evacuated, maxWait).Should(Equal([]bundle.Zone{"no zone of ours", "zone-2"}))
 	})
 
 	// There are more zones than fit beside the changes in one datagram.
@@ -140,13 +141,13 @@
 		w := newWorld(3)
 		nodes := startAll(w)
 		time.Sleep(carrier.JoinDuration) // From then on one balancer reads for all, and the others receive its advertisements.
-		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		const many = 20
 		zones := make([]bundle.Zone, 0, many)
 		for i := range many {
 			zones = append(zones, bundle.Zone(fmt.Sprintf("far-%02d", i)))
 			w.Store.Put(wire.KindEvacuations, string(zones[i]), struct{}{})
 		}
-		Eventually(evacuatedAt(nodes, zones...), waitTimeout).Should(BeTrue())
+		Eventually(evacuatedAt(nodes, zones...), maxWait).Should(BeTrue())
 	})
 })
--- a/internal/process/carrier/follower.go
+++ b/internal/process/carrier/follower.go
@@ -31,8 +31,8 @@
 	// position returns the position from which to watch the kind, by what other daemons sent, or
 	// zero if the kind must be listed. It may be nil.
 	position func() objects.Position
-	// long reports that a list of the kind may take many pages.
-	long bool
+	// multiPage reports that a list of the kind may take many pages.
+	multiPage bool
 }
 
 // follower follows one kind of the store's objects.
@@ -60,7 +60,10 @@
 }
 
 func newFollower[T any](c *Carrier, k kind, feed objects.ListWatcher[T], in objectHandler[T]) *follower[T] {
-	return &follower[T]{objectHandler: in, c: c, kind: k, feed: feed, unusableLimiter: logs.NewLimiter(unusableLines), outdatedLimiter: newOutdatedLimiter()}
+	return &follower[T]{
+		objectHandler: in, c: c, kind: k, feed: feed,
+		unusableLimiter: logs.NewLimiter(unusableLines), outdatedLimiter: newOutdatedLimiter(),
+	}
 }
 
 func (f *follower[T]) run(ctx context.Context) {
@@ -89,7 +92,7 @@
 				sleep(ctx, batchPause)
 			}
 		case eris.Is(err, objects.ErrHistoryGone):
-			klog.InfoS("Store history is no longer available, listing instead", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
+			klog.InfoS("Store history is no longer available, listing again", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
 			asOf, f.listing, f.fresh = 0, nil, true
 			if lostHistories > 0 {
 				// The store's members that answer are of different epochs.
@@ -128,7 +131,7 @@
 	}
 	f.c.mu.Lock()
 	defer f.c.mu.Unlock()
-	return f.stalls.RecordStalled(began, f.c.state.answered)
+	return f.stalls.RecordStalled(began, f.c.state.answeredAt)
 }
 
 // step lists or watches once and applies the result. It returns the position to go on from and
@@ -151,7 +154,7 @@
 		return asOf, false, err
 	}
 	f.noteAnswer()
-	f.reportChanges(&ch)
+	f.reportUnusableChanges(&ch)
 	f.changes(ch, time.Now())
 	return ch.AsOf, len(ch.List) > 0, nil
 }
@@ -166,7 +169,7 @@
 	if f.listing == nil {
 		f.starting = !f.c.start.ready.isSet()
 		f.positionBefore = f.c.positionOf(f.kind)
-		f.listing = objects.NewListing[T](f.long && !f.fresh && f.starting)
+		f.listing = objects.NewListing[T](f.multiPage && !f.fresh && f.starting)
 	}
 	for !f.listing.Done() {
 		p, err := f.page(ctx)
@@ -194,7 +197,7 @@
 		if err != nil {
 			return 0, err
 		}
-		f.reportChanges(&ch)
+		f.reportUnusableChanges(&ch)
 		late = ch
 	}
 	f.listing = nil
@@ -239,7 +242,7 @@
 	}
 }
 
-func (f *follower[T]) reportChanges(ch *objects.Changes[T]) {
+func (f *follower[T]) reportUnusableChanges(ch *objects.Changes[T]) {
 	f.reportUnusable(ch.Findings, nil)
 	for i := range ch.List {
 		if o := &ch.List[i].Object; o.Err != nil && !ch.List[i].Deleted {
@@ -278,7 +281,7 @@
 func (f *follower[T]) noteAnswer() {
 	now := time.Now()
 	f.c.mu.Lock()
-	f.c.state.failing, f.c.state.answered = time.Time{}, now
+	f.c.state.failedAt, f.c.state.answeredAt = time.Time{}, now
 	if last := f.c.state.confirmed[kindUpstreams]; !last.IsZero() && now.Sub(last) > outageAfter {
 		f.c.state.catalog.StoreRecovered(now)
 	}
--- a/internal/process/carrier/follower_test.go
+++ b/internal/process/carrier/follower_test.go
@@ -39,9 +39,9 @@
 		c:    &Carrier{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
 		feed: &busyFeed{},
 		objectHandler: objectHandler[int]{
-			long:    true,
-			list:    func(s objects.Snapshot[int], _ time.Time) { listed = s.AsOf },
-			changes: func(objects.Changes[int], time.Time) {},
+			multiPage: true,
+			list:      func(s objects.Snapshot[int], _ time.Time) { listed = s.AsOf },
+			changes:   func(objects.Changes[int], time.Time) {},
 		},
 	}
 	for range 2 {
--- a/internal/process/carrier/keys_test.go
+++ b/internal/process/carrier/keys_test.go
@@ -20,9 +20,9 @@
 // sendForgedAdvertisement sends a balancer an advertisement from a balancer that doesn't exist.
 func sendForgedAdvertisement(n *node, k peer.Keys) {
 	GinkgoHelper()
-	forger, err := peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement)
+	codec, err := peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement)
 	Expect(err).NotTo(HaveOccurred())
-	b, err := forger.Encode(&peer.Advertisement{From: 9, Bundle: 1 << 40})
+	b, err := codec.Encode(&peer.Advertisement{From: 9, Bundle: 1 << 40})
 	Expect(err).NotTo(HaveOccurred())
 	conn, err := net.Dial("udp4", n.cfg.ControlAddress.String())
 	Expect(err).NotTo(HaveOccurred())
@@ -57,14 +57,14 @@
 				time.Sleep(300 * time.Millisecond) // Balancers that are one step apart exchange messages.
 			}
 			v := w.Roll()
-			Eventually(inForce(nodes, v), waitTimeout).Should(BeTrue())
+			Eventually(inForce(nodes, v), maxWait).Should(BeTrue())
 		}
 		for _, n := range nodes {
 			Expect(n.Members()).To(Equal(3))
 			Expect(n.dropped()).To(BeZero())
 		}
 		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: first})
-		Eventually(nodes[0].dropped, waitTimeout).Should(Equal(1), "the old secret is no longer accepted")
+		Eventually(nodes[0].dropped, maxWait).Should(Equal(1), "the old secret is no longer accepted")
 	})
 
 	// Somebody on the control network sends an advertisement of a balancer that doesn't exist,
@@ -73,7 +73,7 @@
 		w := newWorld(3)
 		nodes := startAll(w)
 		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: []byte("a secret of their own")})
-		Eventually(nodes[0].dropped, waitTimeout).Should(Equal(1))
+		Eventually(nodes[0].dropped, maxWait).Should(Equal(1))
 		Expect(nodes[0].Members()).To(Equal(3))
 	})
 })
--- a/internal/process/carrier/large_test.go
+++ b/internal/process/carrier/large_test.go
@@ -44,11 +44,11 @@
 	w.Hosts[1].CPUShare = 0.1
 	large, small = openNode(t, w, w.Hosts[0]), openNode(t, w, w.Hosts[1])
 	for _, n := range []*node{large, small} {
-		g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
-		g.Eventually(n.Members, waitTimeout).Should(Equal(2))
+		g.Eventually(n.Ready, maxWait).Should(BeTrue())
+		g.Eventually(n.Members, maxWait).Should(Equal(2))
 	}
 	time.Sleep(carrier.JoinDuration)
-	g.Eventually(small.ReadsStore, waitTimeout).Should(BeFalse())
+	g.Eventually(small.ReadsStore, maxWait).Should(BeFalse())
 	return large, small
 }
 
@@ -87,8 +87,8 @@
 	w.ThinLink(w.Hosts[1], slowLink)
 	w.Grow(manyRoutes)
 	v := w.Roll()
-	g.Eventually(large.Version, waitTimeout).Should(Equal(v))
-	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(large.Version, maxWait).Should(Equal(v))
+	g.Eventually(small.Version, maxWait).Should(Equal(v))
 }
 
 // Guards against a small host that, after a power loss of all hosts, lists the large bundle, gives
@@ -101,7 +101,7 @@
 	w.Hosts[0].Seeds = unusedSeeds
 	w.ThinLink(w.Hosts[0], slowLink)
 	n := openNode(t, w, w.Hosts[0])
-	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
+	g.Eventually(n.Ready, maxWait).Should(BeTrue())
 }
 
 // A host is restarted while the others run. Guards against a host that stays out of service because
@@ -113,11 +113,11 @@
 	w.Grow(manyRoutes)
 	v := w.Roll()
 	large := openNode(t, w, w.Hosts[0])
-	g.Eventually(large.Ready, waitTimeout).Should(BeTrue())
+	g.Eventually(large.Ready, maxWait).Should(BeTrue())
 	w.ThinLink(w.Hosts[1], slowLink)
 	w.Hosts[1].Proxy.Set(world.LinkSilent)
 	small := openNode(t, w, w.Hosts[1])
-	g.Eventually(small.Ready, waitTimeout).Should(BeTrue())
+	g.Eventually(small.Ready, maxWait).Should(BeTrue())
 	g.Expect(small.Version()).To(Equal(v))
 }
 
@@ -131,21 +131,21 @@
 	w.Grow(manyRoutes)
 	w.Roll()
 	n := openNode(t, w, w.Hosts[0])
-	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
+	g.Eventually(n.Ready, maxWait).Should(BeTrue())
 	const answers = "fescueshed_store_answers_bytes_total"
 	once := n.metric(t, answers)
 	// A daemon that has just started lists, whatever it holds. After these calls it follows by
 	// watches.
-	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, waitTimeout).Should(BeNumerically(">=", 10))
+	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, maxWait).Should(BeNumerically(">=", 10))
 	w.Store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
-	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_refused_total") }, waitTimeout).Should(BeNumerically(">=", 2))
+	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_refused_total") }, maxWait).Should(BeNumerically(">=", 2))
 	v := w.Roll()
 	for range 10 {
 		v = w.Roll()
 	}
 	before := n.metric(t, answers)
 	w.Store.SetTrouble(metadata.Trouble{})
-	g.Eventually(n.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(n.Version, maxWait).Should(Equal(v))
 	g.Expect(n.metric(t, answers)-before).To(BeNumerically("<=", 2*once), "a list returns the bundle once")
 }
 
@@ -164,7 +164,7 @@
 	before := small.metric(t, "fescueshed_catalogs_bytes_total") + small.metric(t, "fescueshed_store_answers_bytes_total")
 	g.Expect(before).To(BeNumerically(">", 0))
 	v := w.Roll()
-	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(small.Version, maxWait).Should(Equal(v))
 	after := small.metric(t, "fescueshed_catalogs_bytes_total") + small.metric(t, "fescueshed_store_answers_bytes_total")
 	g.Expect(after - before).To(BeNumerically("<=", changeBytes))
 }
@@ -181,9 +181,9 @@
 	before := small.metric(t, "fescueshed_store_answers_bytes_total")
 	w.Hosts[0].Proxy.Set(world.LinkSilent)
 	calls := small.metric(t, "fescueshed_store_calls_total")
-	g.Eventually(small.ReadsStore, waitTimeout).Should(BeTrue())
+	g.Eventually(small.ReadsStore, maxWait).Should(BeTrue())
 	made := func() int { return small.metric(t, "fescueshed_store_calls_total") - calls }
-	g.Eventually(made, waitTimeout).Should(BeNumerically(">=", 4))
+	g.Eventually(made, maxWait).Should(BeNumerically(">=", 4))
 	g.Expect(small.metric(t, "fescueshed_store_answers_bytes_total") - before).To(BeNumerically("<=", changeBytes))
 }
 
@@ -198,23 +198,23 @@
 	w.Roll()
 	w.Hosts[1].CPUShare = 0.1
 	small := openNode(t, w, w.Hosts[1])
-	g.Eventually(small.Ready, waitTimeout).Should(BeTrue())
+	g.Eventually(small.Ready, maxWait).Should(BeTrue())
 	w.Hosts[1].Proxy.Set(world.LinkSilent)
 	w.Grow(5)
 	w.Rewrite()
 	w.Hosts[0].Seeds = unusedSeeds // It reads the store before it knows the other daemon.
 	large := openNode(t, w, w.Hosts[0])
-	g.Eventually(large.Ready, waitTimeout).Should(BeTrue())
+	g.Eventually(large.Ready, maxWait).Should(BeTrue())
 	g.Expect(large.Version()).To(Equal(small.Version()))
-	g.Eventually(small.Members, waitTimeout).Should(Equal(2))
+	g.Eventually(small.Members, maxWait).Should(Equal(2))
 	v := w.Roll()
-	g.Eventually(large.Version, waitTimeout).Should(Equal(v))
-	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(large.Version, maxWait).Should(Equal(v))
+	g.Eventually(small.Version, maxWait).Should(Equal(v))
 
 	time.Sleep(carrier.JoinDuration)
 	before := small.metric(t, "fescueshed_catalogs_bytes_total")
 	v = w.Roll()
-	g.Eventually(small.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(small.Version, maxWait).Should(Equal(v))
 	received := small.metric(t, "fescueshed_catalogs_bytes_total") - before
 	g.Expect(received).To(BeNumerically("<=", changeBytes), "later bundles are sent as updates again")
 }
@@ -226,9 +226,9 @@
 	g := NewWithT(t)
 	w := largeWorld(t, 1)
 	n := openNode(t, w, w.Hosts[0])
-	g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
-	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, waitTimeout).Should(BeNumerically(">=", 10))
+	g.Eventually(n.Ready, maxWait).Should(BeTrue())
+	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, maxWait).Should(BeNumerically(">=", 10))
 	w.Store.SetTrouble(metadata.Trouble{SlowEvents: 2 * time.Second})
 	v := w.Roll()
-	g.Eventually(n.Version, waitTimeout).Should(Equal(v))
+	g.Eventually(n.Version, maxWait).Should(Equal(v))
 }
--- a/internal/process/carrier/loads.go
+++ b/internal/process/carrier/loads.go
@@ -110,7 +110,7 @@
 		}
 	}
 	ownLost, lost := m.c.storeLost(now)
-	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.stamp.Add(1), lost
+	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.lastSequence.Add(1), lost
 	m.c.applyLoads(sum, now)
 	send(m, protocolReport, m.reports, sum, v.Children(peer.TreeForward, true))
 	own := &peer.Report{From: v.Self, Zones: m.c.ownZone(), StoreLost: ownLost}
@@ -172,7 +172,7 @@
 // holds: where more fail together, the others have detected some themselves.
 func (m *members) announceDead(ids []bundle.UpstreamID) {
 	v := m.view.Load()
-	r := &peer.Report{From: v.Self, DeadOnly: true, Dead: ids[:min(len(ids), peer.MaxDead)], Sequence: m.stamp.Add(1)}
+	r := &peer.Report{From: v.Self, DeadOnly: true, Dead: ids[:min(len(ids), peer.MaxDead)], Sequence: m.lastSequence.Add(1)}
 	send(m, protocolReport, m.reports, r, v.Recipients(true))
 }
 
--- a/internal/process/carrier/memberlog.go
+++ b/internal/process/carrier/memberlog.go
@@ -80,8 +80,8 @@
 	return true
 }
 
-// sum logs the summaries once memberSumPeriod has passed.
-func (l *memberLog) sum(members int, now time.Time) {
+// logSummaries logs the summaries once memberSumPeriod has passed.
+func (l *memberLog) logSummaries(members int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.summaries) == 0 || now.Sub(l.written) < memberSumPeriod {
--- a/internal/process/carrier/members.go
+++ b/internal/process/carrier/members.go
@@ -39,10 +39,10 @@
 	loads          *zoneLoads
 	changes        *memberLog
 	wg             sync.WaitGroup
-	// stamp is the stamp of the last report that others relay, relayed are the stamps of their
-	// reports that this daemon relayed.
-	stamp   atomic.Uint64
-	relayed *relayedStamps
+	// lastSequence is the sequence number of this daemon's last report that others relay. relayed
+	// records the numbers of their reports that this daemon relayed.
+	lastSequence atomic.Uint64
+	relayed      *relayedSequences
 
 	// view is the present view of the members.
 	view atomic.Pointer[peer.View]
@@ -55,10 +55,10 @@
 	firstMemberMet chan struct{}
 
 	// mu guards the fields below.
-	mu       sync.Mutex
-	group    *peer.Membership
-	epoch    uint64
-	nextSeed time.Time
+	mu         sync.Mutex
+	membership *peer.Membership
+	epoch      uint64
+	nextSeed   time.Time
 	// seedPeriod is the pause after the next request to the seeds.
 	seedPeriod time.Duration
 
@@ -85,11 +85,11 @@
 func (c *Carrier) startMembers(ctx context.Context) (func(), error) {
 	cfg := c.cfg.Load()
 	m := &members{
-		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedStamps(),
+		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedSequences(),
 		pullLines: logs.NewLimiter(pullLines),
 		joinSlots: make(chan struct{}, max(minJoinSlots, int(joinSlotsPerCore*cfg.CPUShare))), firstMemberMet: make(chan struct{}, 1),
 	}
-	m.stamp.Store(uint64(c.started.UnixNano()))
+	m.lastSequence.Store(uint64(c.started.UnixNano()))
 	if err := m.newCodecs(keys(cfg)); err != nil {
 		return nil, err
 	}
@@ -110,8 +110,8 @@
 		Size:        uint32(cfg.CPUShare * milliCores),
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	m.group = peer.NewMembership(peer.Config{ProbePeriod: time.Duration(cfg.ProbePeriod), Updates: peer.MaxUpdates}, self, rng)
-	m.view.Store(m.group.View())
+	m.membership = peer.NewMembership(peer.Config{ProbePeriod: time.Duration(cfg.ProbePeriod), Updates: peer.MaxUpdates}, self, rng)
+	m.view.Store(m.membership.View())
 	c.members = m
 	ctx, cancel := context.WithCancel(ctx)
 	m.ctx = ctx
@@ -239,12 +239,12 @@
 // returns.
 func (m *members) update(f func(g *peer.Membership) []peer.Envelope) {
 	m.mu.Lock()
-	out := f(m.group)
+	out := f(m.membership)
 	var view, old *peer.View
-	if e := m.group.Epoch(); e != m.epoch {
+	if e := m.membership.Epoch(); e != m.epoch {
 		m.epoch = e
 		old = m.view.Load()
-		view = m.group.View()
+		view = m.membership.View()
 		m.view.Store(view)
 	}
 	m.mu.Unlock()
@@ -345,11 +345,12 @@
 	})
 }
 
-// metServing reports whether this daemon has received a message of a member that can place flows.
-func (m *members) metServing() bool {
+// servingMemberSeen reports whether this daemon has received a message of a member that can place
+// flows.
+func (m *members) servingMemberSeen() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.group.ServingMemberSeen()
+	return m.membership.ServingMemberSeen()
 }
 
 func (m *members) sendLeaving() {
--- a/internal/process/carrier/probe.go
+++ b/internal/process/carrier/probe.go
@@ -131,12 +131,12 @@
 // host that is short of CPU time, the acceptance of a connection may not have been read for long,
 // while the later answer of a reference has.
 func unaccepted(conn syscall.RawConn) bool {
-	waiting := false
+	pending := false
 	err := conn.Control(func(fd uintptr) {
 		_, err := unix.Getpeername(int(fd))
-		waiting = errors.Is(err, unix.ENOTCONN)
+		pending = errors.Is(err, unix.ENOTCONN)
 	})
-	return err == nil && waiting // After another error the connection is closed: the attempt is over.
+	return err == nil && pending // After another error the connection is closed: the attempt is over.
 }
 
 // referenceAccepts reports whether the reference accepts a connection quickly. It connects only
--- a/internal/process/carrier/region_test.go
+++ b/internal/process/carrier/region_test.go
@@ -31,12 +31,12 @@
 		h := w.Hosts[0]
 		h.Regions = `"zone-1": "north", "zone-2": "north", "zone-3": "south"`
 		n := startNode(w, h)
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		before := n.Version()
 		w.Store.Accept(before+1, boundBundle("suoth"))
 		// A daemon without others begins to follow the store a second after its start.
 		Consistently(n.Version, 3*time.Second).Should(Equal(before))
 		w.Store.Accept(before+2, boundBundle("south"))
-		Eventually(n.Version, waitTimeout).Should(Equal(before + 2))
+		Eventually(n.Version, maxWait).Should(Equal(before + 2))
 	})
 })
--- a/internal/process/carrier/relay.go
+++ b/internal/process/carrier/relay.go
@@ -9,41 +9,44 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// relayedStamps records the stamps of relayed reports, so that a report that arrives by both trees,
-// or circulates while members' views differ, is relayed once. It is safe for concurrent use.
-type relayedStamps struct {
+// relayedSequences records the sequence numbers of relayed reports, so that a report that arrives
+// by both trees, or circulates while members' views differ, is relayed once. It is safe for
+// concurrent use.
+type relayedSequences struct {
 	mu   sync.Mutex
-	last map[peer.ID]stamped
+	last map[peer.ID]seenSequence
 }
 
-type stamped struct {
-	stamp uint64
-	at    time.Time
+type seenSequence struct {
+	sequence uint64
+	at       time.Time
 }
 
-// stampTTL is how long a stamp counts. A daemon that restarts with a clock that jumped back begins
-// with lower stamps; its reports are relayed again after this time.
-const stampTTL = 2 * time.Second
+// sequenceTTL is how long a sequence number counts. A daemon that restarts with a clock that jumped
+// back begins with lower numbers; its reports are relayed again after this time.
+const sequenceTTL = 2 * time.Second
 
-func newRelayedStamps() *relayedStamps { return &relayedStamps{last: make(map[peer.ID]stamped)} }
+func newRelayedSequences() *relayedSequences {
+	return &relayedSequences{last: make(map[peer.ID]seenSequence)}
+}
 
-// isNew reports whether a report wasn't seen before, and records its stamp.
-func (s *relayedStamps) isNew(from peer.ID, stamp uint64, now time.Time) bool {
+// isNew reports whether a report wasn't seen before, and records its sequence number.
+func (s *relayedSequences) isNew(from peer.ID, sequence uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.last[from]; ok && stamp <= old.stamp && now.Sub(old.at) < stampTTL {
+	if old, ok := s.last[from]; ok && sequence <= old.sequence && now.Sub(old.at) < sequenceTTL {
 		return false
 	}
-	s.last[from] = stamped{stamp: stamp, at: now}
+	s.last[from] = seenSequence{sequence: sequence, at: now}
 	return true
 }
 
-// expire deletes stamps that no longer count.
-func (s *relayedStamps) expire(now time.Time) {
+// expire deletes sequence numbers that no longer count.
+func (s *relayedSequences) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.last {
-		if now.Sub(l.at) >= stampTTL {
+		if now.Sub(l.at) >= sequenceTTL {
 			delete(s.last, id)
 		}
 	}
--- a/internal/process/carrier/relay_test.go
+++ b/internal/process/carrier/relay_test.go
@@ -13,8 +13,8 @@
 var _ = Describe("Relaying", func() {
 	now := time.Unix(1000, 0)
 
-	It("relays a report once, by its stamp", func() {
-		s := newRelayedStamps()
+	It("relays a report once, by its sequence number", func() {
+		s := newRelayedSequences()
 		Expect(s.isNew(1, 5, now)).To(BeTrue())
 		Expect(s.isNew(1, 5, now.Add(time.Second))).To(BeFalse())
 		Expect(s.isNew(1, 4, now.Add(time.Second))).To(BeFalse())
@@ -22,16 +22,16 @@
 		Expect(s.isNew(1, 6, now.Add(time.Second))).To(BeTrue())
 	})
 
-	It("relays a report with a lower stamp once its sender must have restarted", func() {
-		s := newRelayedStamps()
+	It("relays a report with a lower sequence number once its sender must have restarted", func() {
+		s := newRelayedSequences()
 		Expect(s.isNew(1, 1000, now)).To(BeTrue())
-		Expect(s.isNew(1, 5, now.Add(stampTTL))).To(BeTrue())
+		Expect(s.isNew(1, 5, now.Add(sequenceTTL))).To(BeTrue())
 	})
 
-	It("deletes stamps that no longer count", func() {
-		s := newRelayedStamps()
+	It("deletes sequence numbers that no longer count", func() {
+		s := newRelayedSequences()
 		s.isNew(1, 5, now)
-		s.expire(now.Add(stampTTL))
+		s.expire(now.Add(sequenceTTL))
 		Expect(s.last).To(BeEmpty())
 	})
 
--- a/internal/process/carrier/restored_test.go
+++ b/internal/process/carrier/restored_test.go
@@ -22,8 +22,8 @@
 		nodes = append(nodes, openNode(t, w, h))
 	}
 	for _, n := range nodes {
-		g.Eventually(n.Ready, waitTimeout).Should(BeTrue())
-		g.Eventually(n.Members, waitTimeout).Should(Equal(len(nodes)))
+		g.Eventually(n.Ready, maxWait).Should(BeTrue())
+		g.Eventually(n.Members, maxWait).Should(Equal(len(nodes)))
 	}
 	return nodes
 }
@@ -44,7 +44,7 @@
 	for _, n := range nodes {
 		for _, kind := range []string{"Bundles", "Registrations"} {
 			name := fmt.Sprintf("fescueshed_store_revision{kind=%q}", kind)
-			g.Eventually(func() int { return n.metric(t, name) }, waitTimeout).Should(BeEquivalentTo(w.Store.Revision()))
+			g.Eventually(func() int { return n.metric(t, name) }, maxWait).Should(BeEquivalentTo(w.Store.Revision()))
 		}
 	}
 	restore()
@@ -59,7 +59,7 @@
 	restoreStore(t, w, nodes)
 	g.Expect(w.DrainServer()).To(BeTrue())
 	for _, n := range nodes {
-		g.Eventually(n.AvailableUpstreams, waitTimeout).Should(Equal(11))
+		g.Eventually(n.AvailableUpstreams, maxWait).Should(Equal(11))
 	}
 }
 
@@ -71,7 +71,7 @@
 	nodes := openAll(t, w)
 	restoreStore(t, w, nodes)
 	w.Evacuate("zone-2")
-	g.Eventually(evacuatedAt(nodes, "zone-2"), waitTimeout).Should(BeTrue())
+	g.Eventually(evacuatedAt(nodes, "zone-2"), maxWait).Should(BeTrue())
 }
 
 // Guards against ending a drain and an evacuation because the store was restored from a snapshot
@@ -91,10 +91,10 @@
 		}
 		return evacuatedAt(nodes, "zone-2")()
 	}
-	g.Eventually(kept, waitTimeout).Should(BeTrue())
+	g.Eventually(kept, maxWait).Should(BeTrue())
 	restore()
 	for _, n := range nodes {
-		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, waitTimeout).Should(Equal(1))
+		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, maxWait).Should(Equal(1))
 		g.Eventually(n.AvailableUpstreams).Should(Equal(11))
 	}
 	g.Consistently(kept, time.Second).Should(BeTrue())
@@ -108,7 +108,7 @@
 	h, err := w.AddHost(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	nodes = append(nodes, openNode(t, w, h))
-	g.Eventually(kept, waitTimeout).Should(BeTrue(), "the others send them to a starting balancer")
+	g.Eventually(kept, maxWait).Should(BeTrue(), "the others send them to a starting balancer")
 	w.WriteAgain(time.Second)
 	time.Sleep(objects.RestoreGrace)
 	g.Consistently(kept, time.Second).Should(BeTrue(), "the store has them again")
@@ -122,7 +122,7 @@
 	nodes := openAll(t, w)
 	restoreStore(t, w, nodes)
 	for _, n := range nodes {
-		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, waitTimeout).Should(Equal(1))
+		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, maxWait).Should(Equal(1))
 	}
 	w.Store.SetTrouble(metadata.Trouble{Former: true})
 	g.Expect(w.DrainServer()).To(BeTrue())
@@ -133,14 +133,14 @@
 		}
 		return sum
 	}
-	g.Eventually(outdated, waitTimeout).Should(BeNumerically(">", 0))
+	g.Eventually(outdated, maxWait).Should(BeNumerically(">", 0))
 	for _, n := range nodes {
 		age := func() int { return n.metric(t, `fescueshed_store_kind_age_seconds{kind="Registrations"}`) }
-		g.Eventually(age, waitTimeout).Should(BeNumerically(">", 3), "seconds since the list was known")
+		g.Eventually(age, maxWait).Should(BeNumerically(">", 3), "seconds since the list was known")
 	}
 	w.Store.SetTrouble(metadata.Trouble{})
 	for _, n := range nodes {
-		g.Eventually(n.AvailableUpstreams, waitTimeout).Should(Equal(11))
+		g.Eventually(n.AvailableUpstreams, maxWait).Should(Equal(11))
 	}
 }
 
@@ -162,13 +162,13 @@
 			g := NewWithT(t)
 			w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 			nodes := openAll(t, w)
-			g.Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+			g.Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 			reader := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.ReadsStore() })]
 			restoreStore(t, w, nodes)
 			inject(w, reader)
 			g.Expect(w.DrainServer()).To(BeTrue())
 			for _, n := range nodes {
-				g.Eventually(n.AvailableUpstreams, waitTimeout).Should(Equal(11))
+				g.Eventually(n.AvailableUpstreams, maxWait).Should(Equal(11))
 			}
 		})
 	}
@@ -182,13 +182,13 @@
 	nodes := openAll(t, w)
 	restore := w.Store.Snapshot()
 	lost := w.Roll()
-	g.Eventually(inForce(nodes, lost), waitTimeout).Should(BeTrue())
+	g.Eventually(inForce(nodes, lost), maxWait).Should(BeTrue())
 	restore()
 	for _, n := range nodes {
-		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, waitTimeout).Should(Equal(1))
+		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, maxWait).Should(Equal(1))
 	}
 	g.Expect(inForce(nodes, lost)()).To(BeTrue(), "no balancer reverts to the earlier version")
-	g.Eventually(inForce(nodes, w.Roll()), waitTimeout).Should(BeTrue())
+	g.Eventually(inForce(nodes, w.Roll()), maxWait).Should(BeTrue())
 }
 
 // Guards against hosts that others can't find after the store was restored from a snapshot without
@@ -203,9 +203,9 @@
 	restore := w.Store.Snapshot()
 	openAll(t, w)
 	written := func() string { return w.Store.Content(kind, name) }
-	g.Eventually(written, waitTimeout).ShouldNot(BeEmpty())
+	g.Eventually(written, maxWait).ShouldNot(BeEmpty())
 	time.Sleep(readBack) // From then on the store reader reads the contacts rarely.
 	restore()
 	g.Expect(written()).To(BeEmpty())
-	g.Eventually(written, waitTimeout).ShouldNot(BeEmpty())
+	g.Eventually(written, maxWait).ShouldNot(BeEmpty())
 }
--- a/internal/process/carrier/start.go
+++ b/internal/process/carrier/start.go
@@ -16,10 +16,10 @@
 // startup is the sequence by which a daemon obtains the state that it needs to place flows:
 //
 //	sockets are open        callers' packets wait in them
-//	seeds are asked         they answer with members that can send more, see peer.Membership.Introductions
-//	a catalog is fetched    from a member, or the daemon reads the store, as peer.Start decides
+//	seeds are asked         they answer with members that can send more, see peer.Membership.BootstrapMembers
+//	a catalog is fetched    from a member, or the daemon reads the store, as peer.Startup decides
 //	ready                   flows are placed, other daemons may ask this one
-//	the rest is fetched     all members, and the removed upstreams
+//	the rest is fetched     all members, and the deregistered upstreams
 //
 // After a power loss of all hosts the seeds are down as well, and the daemon reads the store. If
 // the list of upstreams there turns out to be large, the daemon delays reading it: all hosts
@@ -86,11 +86,11 @@
 // bootstrap fetches catalogs from other daemons until this daemon can place flows.
 func (m *members) bootstrap(ctx context.Context) {
 	s := m.c.start
-	long := s.listIsLarge.done
+	large := s.listIsLarge.done
 	var larger []netip.AddrPort
 	for try := 0; ctx.Err() == nil && !s.ready.isSet(); {
-		if tellers := append(slices.Clone(larger), m.catalogSources()...); len(tellers) > 0 {
-			m.greetAndFetch(tellers[try%len(tellers)])
+		if sources := append(slices.Clone(larger), m.catalogSources()...); len(sources) > 0 {
+			m.greetAndFetch(sources[try%len(sources)])
 			try++
 		}
 		pause := s.RequestDelay(rand.Float64())
@@ -102,8 +102,8 @@
 		case <-s.ready.done:
 		case <-m.firstMemberMet:
 		case <-time.After(pause):
-		case <-long:
-			long, try = nil, 0
+		case <-large:
+			large, try = nil, 0
 			if larger = m.largerMembers(ctx); len(larger) == 0 {
 				s.noLargerMember.set()
 			}
@@ -132,7 +132,7 @@
 }
 
 // catalogSources returns the RPC addresses of members from which a starting daemon fetches a
-// catalog, see peer.View.Tellers.
+// catalog, see peer.View.CatalogSources.
 func (m *members) catalogSources() []netip.AddrPort {
 	list := m.view.Load().CatalogSources()
 	out := make([]netip.AddrPort, 0, len(list))
@@ -195,9 +195,9 @@
 	}
 }
 
-// awaitReadCheck waits until the next check whether this daemon should read the store. That is
-// after readCheckPeriod, or, before the daemon is ready, after startPoll or as soon as a caller's
-// packet arrives.
+// awaitReadCheck waits until the next check whether this daemon should read the store. It waits
+// readCheckPeriod if the daemon is ready or callers are waiting. Otherwise it waits startPoll, or
+// until a caller's packet arrives for which the daemon may have to read the store.
 func (c *Carrier) awaitReadCheck(ctx context.Context) {
 	if c.start.ready.isSet() || c.start.callersWaiting.isSet() {
 		sleep(ctx, readCheckPeriod)
--- a/internal/process/carrier/start_test.go
+++ b/internal/process/carrier/start_test.go
@@ -38,10 +38,10 @@
 		w.Store.Delete(wire.KindConfig, wire.NameConfig)
 		w.Hosts[0].FirstStart = true
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Upstreams, waitTimeout).Should(Equal(12))
+		Eventually(n.Upstreams, maxWait).Should(Equal(12))
 		Consistently(n.Ready, 500*time.Millisecond).Should(BeFalse())
 		w.Roll()
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 	})
 
 	// A host is added to a running system. Guards against new hosts that each read the store: 37
@@ -52,9 +52,9 @@
 		h := addHost(w)
 		h.Proxy.Set(world.LinkSilent)
 		n := startNode(w, h)
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(12))
-		Eventually(n.Members, waitTimeout).Should(Equal(4))
+		Eventually(n.Members, maxWait).Should(Equal(4))
 	})
 
 	// All hosts lost power. A host starts whose seeds are all down, and it has received no caller's
@@ -62,7 +62,7 @@
 	It("reads the store immediately if no seed answers", func() {
 		w := newWorld(1)
 		w.Hosts[0].Seeds = unusedSeeds
-		Eventually(startNode(w, w.Hosts[0]).Ready, waitTimeout).Should(BeTrue())
+		Eventually(startNode(w, w.Hosts[0]).Ready, maxWait).Should(BeTrue())
 	})
 
 	// All hosts lost power, and the list of upstreams is large. A small host reads the contacts
@@ -71,12 +71,12 @@
 		w := newWorld(3)
 		startAll(w)
 		const kind, name = "fescueshed-contacts", "main"
-		Eventually(func() string { return w.Store.Content(kind, name) }, waitTimeout).Should(ContainSubstring("host-1"))
+		Eventually(func() string { return w.Store.Content(kind, name) }, maxWait).Should(ContainSubstring("host-1"))
 		makeListLarge(w)
 		h := addHost(w)
 		h.Seeds, h.CPUShare = unusedSeeds, 0.1
 		n := startNode(w, h)
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.AvailableUpstreams()).To(Equal(12))
 		Expect(metricsOf(n)).NotTo(ContainSubstring("fescueshed_catalogs_fetched_total 0\n"))
 	})
@@ -91,7 +91,7 @@
 		makeListLarge(w)
 		w.Hosts[0].Seeds = unusedSeeds
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.AvailableUpstreams()).To(Equal(12))
 	})
 
@@ -101,7 +101,7 @@
 		makeListLarge(w)
 		w.Hosts[0].Seeds = unusedSeeds
 		n := startNode(w, w.Hosts[0])
-		Eventually(n.Ready, waitTimeout).Should(BeTrue())
+		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.AvailableUpstreams()).To(Equal(12))
 	})
 
@@ -115,10 +115,10 @@
 			nodes = append(nodes, startNode(w, h))
 		}
 		for _, n := range nodes {
-			Eventually(n.Ready, waitTimeout).Should(BeTrue())
+			Eventually(n.Ready, maxWait).Should(BeTrue())
 			Expect(n.Upstreams()).To(Equal(12))
 		}
-		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 	})
 
 	// The store reader fails. The daemon that takes over holds the list as of the last
@@ -126,7 +126,7 @@
 	It("continues from its received state when it takes over as store reader", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		Eventually(func() int { return readers(nodes) }, waitTimeout).Should(Equal(1))
+		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		for _, n := range nodes {
 			if n.ReadsStore() {
 				n.host.Proxy.Set(world.LinkSilent)
@@ -134,7 +134,7 @@
 		}
 		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		for _, n := range nodes {
-			Eventually(n.Upstreams, waitTimeout).Should(Equal(13))
+			Eventually(n.Upstreams, maxWait).Should(Equal(13))
 		}
 	})
 })
--- a/internal/process/carrier/store.go
+++ b/internal/process/carrier/store.go
@@ -22,7 +22,7 @@
 			list: c.listBundles, changes: c.changeBundles, position: c.bundlesPosition,
 		}).run,
 		newFollower(c, kindUpstreams, c.platform.Registrations, objectHandler[registry.Registration]{
-			list: c.listUpstreams, changes: c.changeUpstreams, position: c.upstreamsPosition, long: true,
+			list: c.listUpstreams, changes: c.changeUpstreams, position: c.upstreamsPosition, multiPage: true,
 		}).run,
 		newFollower(c, kindEvacuations, c.platform.Evacuations, objectHandler[bundle.Zone]{
 			list: c.listEvacuations, changes: c.changeEvacuations, position: c.evacuationsPosition,
@@ -37,13 +37,13 @@
 }
 
 // shouldReadStore reports whether this daemon should read the store now. Until it can place flows,
-// peer.Start decides, afterwards peer.Reading.
+// peer.Startup decides, afterwards peer.ReaderElection.
 func (c *Carrier) shouldReadStore(now time.Time) bool {
 	v := c.members.view.Load()
 	rank := v.ReaderRank()
 	if !c.start.ready.isSet() {
 		return c.start.ShouldRead(peer.StartupState{
-			CallersWaiting: c.start.callersWaiting.isSet(), ServingMemberSeen: c.members.metServing(),
+			CallersWaiting: c.start.callersWaiting.isSet(), ServingMemberSeen: c.members.servingMemberSeen(),
 			Rank: rank, Others: len(v.Members) - 1,
 		}, now)
 	}
@@ -81,8 +81,8 @@
 // immediately: the others receive no advertisements meanwhile, and would read the store themselves.
 func (c *Carrier) noteStoreFailure(now time.Time) {
 	c.mu.Lock()
-	first := c.state.failing.IsZero()
-	c.state.failing = now
+	first := c.state.failedAt.IsZero()
+	c.state.failedAt = now
 	c.mu.Unlock()
 	if first {
 		c.members.sendLoads(now)
@@ -94,9 +94,9 @@
 func (c *Carrier) noteStoreLost(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.election.StoreReportedLost(now)
+	reported := c.election.StoreReportedLost(now)
 	c.election.ReportStoreLost(now)
-	return !known
+	return !reported
 }
 
 // storeLost reports whether this daemon's own calls of the store fail, and whether it has no recent
@@ -108,7 +108,7 @@
 	if !c.canPlaceFlowsLocked() {
 		return false, false
 	}
-	own = !c.state.failing.IsZero() && now.Sub(c.state.failing) < storeFailureTTL
+	own = !c.state.failedAt.IsZero() && now.Sub(c.state.failedAt) < storeFailureTTL
 	return own, own || c.election.StoreReportedLost(now) || now.Sub(c.state.confirmedAll()) > maxAdvertisedAge
 }
 
@@ -164,13 +164,13 @@
 	c.applyStoredUpstreams(ch.AsOf, now, func() bool { return c.state.catalog.Apply(changes, ch.AsOf, now) })
 }
 
-// applyStoredUpstreams applies what this daemon itself has read of the list of upstreams. take
+// applyStoredUpstreams applies what this daemon itself has read of the list of upstreams. apply
 // changes the catalog and reports whether it did. What the catalog refuses, since an advertisement
 // of a later position arrived first, doesn't count as confirmed.
-func (c *Carrier) applyStoredUpstreams(asOf objects.Position, now time.Time, take func() bool) {
+func (c *Carrier) applyStoredUpstreams(asOf objects.Position, now time.Time, apply func() bool) {
 	c.mu.Lock()
 	var resets []cookie.Reset
-	if c.changeCatalog(take) {
+	if c.changeCatalog(apply) {
 		resets = c.updateEngine(now)
 	}
 	if asOf >= c.state.catalog.AsOf {
--- a/internal/process/carrier/storestate.go
+++ b/internal/process/carrier/storestate.go
@@ -41,9 +41,9 @@
 	needsWholeBundle, needsWholeList bool
 	// confirmed is the time as of which each kind is known, or zero if it isn't known.
 	confirmed [numKinds]time.Time
-	// failing is when a call of the store last failed, or zero if one was answered since. answered
-	// is when one was last answered.
-	failing, answered time.Time
+	// failedAt is when a call of the store last failed, or zero if one was answered since.
+	// answeredAt is when one was last answered.
+	failedAt, answeredAt time.Time
 }
 
 // observeEpoch records the epoch given by an answer or a message. It reports whether the epoch
