--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -21,18 +21,17 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// The periods at which the parts of a daemon look at the time.
+// Periods of the daemon's timers.
 const (
-	// awakePeriod is how often the process shows itself that it runs. It is much
-	// less than pauseLimit, also on a host that gets its processor by tenths of a
-	// second.
-	awakePeriod = 50 * time.Millisecond
-	memberTick  = 100 * time.Millisecond
-	sweepPeriod = 500 * time.Millisecond
-	// pauseLimit is how long the process may not run without being taken for
-	// paused. A shorter one would take a host whose share of a tenth of a second is
-	// used up for paused; callers repeat a first packet after 200 ms, and only
-	// copies that are older than the next one can do harm.
+	// tickPeriod is how often the process records that it is running. It is much shorter than
+	// pauseLimit, even on a host that is given its CPU share in slices of a tenth of a second.
+	tickPeriod       = 50 * time.Millisecond
+	memberTickPeriod = 100 * time.Millisecond
+	sweepPeriod      = 500 * time.Millisecond
+	// pauseLimit is how long the process may stand still before it is treated as paused. A shorter
+	// limit would treat a host that has used up its CPU share for a tenth of a second as paused.
+	// Callers retransmit a first packet after 200 ms, and only copies older than the next
+	// retransmission can do harm.
 	pauseLimit = 300 * time.Millisecond
 )
 
@@ -46,47 +45,47 @@
 	members  *members
 	probes   *probes
 	logs     *decisionLog
-	// answered and probed are the histograms of times in seconds.
-	answered, probed metrics.Histogram
-	started          time.Time
-	leaving          atomic.Bool
-	start            *startup
-	// unusable counts stored objects that couldn't be used, each time they were read.
-	unusable  atomic.Uint64
-	departure departure
-	outdated  outdated
+	// answerSeconds and probeSeconds are histograms of durations in seconds.
+	answerSeconds, probeSeconds metrics.Histogram
+	started                     time.Time
+	leaving                     atomic.Bool
+	start                       *startup
+	// unusable counts stored objects that could not be used, once for each read.
+	unusable        atomic.Uint64
+	departure       departure
+	outdatedAnswers outdatedCounts
 
-	// mu guards what follows.
-	mu      sync.Mutex
-	engine  *cookie.Engine
-	warmers *peer.WarmupLimiter
-	reading peer.ReaderElection
-	known   knowledge
-	// origin is the daemon whose news were heard last, passed the last news that this
-	// daemon passed on.
-	origin peer.ID
-	passed word
+	// mu guards the fields below.
+	mu            sync.Mutex
+	engine        *cookie.Engine
+	warmupLimiter *peer.WarmupLimiter
+	election      peer.ReaderElection
+	state         storeState
+	// lastOrigin is the daemon from which the last received advertisement originates. lastRelayed
+	// summarizes the last advertisement that this daemon relayed.
+	lastOrigin  peer.ID
+	lastRelayed advertisementSummary
 }
 
-// New opens the sockets of a daemon and starts its parts. The clean-up function
-// ends them at once; Leave ends them gracefully before.
+// New opens the sockets of a daemon and starts its parts. The returned clean-up function stops them
+// immediately; call Leave before it for a graceful shutdown.
 func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Carrier, func(), error) {
 	c := &Carrier{
 		platform: p,
 		pauses:   timer.NewPauses(pauseLimit),
 		logs:     newDecisionLog(cfg.LogsPerSecond),
 		started:  time.Now(),
-		known:    knowledge{catalog: registry.NewCatalog()},
+		state:    storeState{catalog: registry.NewCatalog()},
 	}
 	c.start = newStartup(c.started, cfg.FirstStart)
-	c.warmers = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), c.started.Add(JoinedAfter))
+	c.warmupLimiter = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), c.started.Add(JoinDuration))
 	c.engine = cookie.NewEngine(cookie.Options{
-		WarmupLimiter: c.warmers,
+		WarmupLimiter: c.warmupLimiter,
 		Zone:          cfg.Zone,
 		Regions:       cfg.Regions,
 		Policy:        upstream.NewZoneAware(cfg.Zone, upstream.DefaultChoices),
 		FlowLifetime:  time.Duration(cfg.FlowLifetime),
-		OnAnswered:    func(took time.Duration) { c.answered.Update(took.Seconds()) },
+		OnAnswered:    func(took time.Duration) { c.answerSeconds.Update(took.Seconds()) },
 	})
 	c.cfg.Store(cfg)
 	cleanup, err := steps.Run(ctx,
@@ -100,14 +99,14 @@
 
 func (c *Carrier) startTimer(context.Context) (func(), error) {
 	t, stop := timer.New()
-	t.Subscribe(awakePeriod, c.awake)
-	t.Subscribe(memberTick, c.members.tick)
+	t.Subscribe(tickPeriod, c.tick)
+	t.Subscribe(memberTickPeriod, c.members.tick)
 	t.Subscribe(sweepPeriod, c.sweep)
-	t.Subscribe(peer.StartupReportPeriod, c.tellEagerly)
+	t.Subscribe(peer.StartupReportPeriod, c.sendLoadsEagerly)
 	return stop, nil
 }
 
-// keys returns the secrets that daemons share.
+// keys returns the secrets shared by the daemons.
 func keys(cfg *settings.Cookie) peer.Keys {
 	k := peer.Keys{Seal: cfg.Secret}
 	if len(k.Seal) == 0 {
@@ -120,39 +119,38 @@
 	return k
 }
 
-// Ready reports whether routers should send packets here.
-func (c *Carrier) Ready() bool { return c.placesFlows() && !c.leaving.Load() }
+// Ready reports whether routers should send packets to this daemon.
+func (c *Carrier) Ready() bool { return c.canPlaceFlows() && !c.leaving.Load() }
 
-// placesFlows reports whether the daemon knows enough to place flows.
-func (c *Carrier) placesFlows() bool {
+// canPlaceFlows reports whether the daemon has the state that it needs to place flows.
+func (c *Carrier) canPlaceFlows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ready()
+	return c.canPlaceFlowsLocked()
 }
 
-// ready is placesFlows while c.mu is held. Without the evacuated zones no flow is placed: the first
-// ones would enter a zone that is being emptied.
-func (c *Carrier) ready() bool {
-	return c.engine.Ready() && !c.known.confirmed[kindEvacuations].IsZero()
+// canPlaceFlowsLocked is canPlaceFlows for callers that hold c.mu. No flow is placed before the
+// evacuated zones are known: the first flows could otherwise enter a zone that is being evacuated.
+func (c *Carrier) canPlaceFlowsLocked() bool {
+	return c.engine.Ready() && !c.state.confirmed[kindEvacuations].IsZero()
 }
 
-// noteReady lets those go on that wait for the daemon to know enough to place flows. c.mu is
-// held.
-func (c *Carrier) noteReady() {
-	if c.ready() {
-		c.start.ready.happen()
+// signalIfReady sets the ready event once the daemon can place flows. c.mu must be held.
+func (c *Carrier) signalIfReady() {
+	if c.canPlaceFlowsLocked() {
+		c.start.ready.set()
 	}
 }
 
 // Version returns the version of the bundle in force, or zero.
 func (c *Carrier) Version() bundle.Version { return c.inForce.Version() }
 
-// Upstreams returns how many registered upstreams the daemon routes by.
+// Upstreams returns the number of registered upstreams in use.
 func (c *Carrier) Upstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, r := range c.known.catalog.InUse() {
+	for _, r := range c.state.catalog.InUse() {
 		if r.HasContent() {
 			n++
 		}
@@ -160,12 +158,13 @@
 	return n
 }
 
-// Takes returns how many registered upstreams may get new flows, as far as their entries say.
-func (c *Carrier) Takes() int {
+// AvailableUpstreams returns the number of registered upstreams that may get new flows according to
+// their store entries.
+func (c *Carrier) AvailableUpstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, r := range c.known.catalog.InUse() {
+	for _, r := range c.state.catalog.InUse() {
 		if !r.Unusable && !r.Draining {
 			n++
 		}
@@ -173,63 +172,64 @@
 	return n
 }
 
-// Members returns how many daemons this one knows, itself among them.
+// Members returns the number of known daemons, including this one.
 func (c *Carrier) Members() int { return len(c.members.view.Load().Members) }
 
-// Reads reports whether the daemon reads the store now.
-func (c *Carrier) Reads() bool { return c.reads(time.Now()) }
+// ReadsStore reports whether the daemon currently reads the store.
+func (c *Carrier) ReadsStore() bool { return c.shouldReadStore(time.Now()) }
 
-// awake runs often: it notices pauses, sends due probes and lets doubts of the
-// store's list end.
-func (c *Carrier) awake(now time.Time) {
+// tick runs every tickPeriod. It records that the process is running, expires held upstreams and
+// evacuations of a restored store, and sends the probes that are due.
+func (c *Carrier) tick(now time.Time) {
 	c.pauses.Seen(now)
 	c.mu.Lock()
-	c.expireList(now)
+	c.expireHeldUpstreams(now)
 	c.expireEvacuations(now)
 	due := c.engine.DueProbes(now)
 	c.mu.Unlock()
 	c.probes.send(due)
 }
 
-// sweep forgets flows that went and tells the zone what this daemon counts.
+// sweep expires flows and sends this daemon's loads and advertisement.
 func (c *Carrier) sweep(now time.Time) {
 	c.mu.Lock()
-	c.warmers.Update(c.members.view.Load(), now)
+	c.warmupLimiter.Update(c.members.view.Load(), now)
 	c.engine.Expire(now)
 	c.mu.Unlock()
-	c.members.tellLoads(now)
-	c.members.tellNews(now)
-	c.members.passed.forget(now)
-	c.members.lines.sum(c.Members(), now)
+	c.members.sendLoads(now)
+	c.members.advertise(now)
+	c.members.relayed.expire(now)
+	c.members.changes.logSummaries(c.Members(), now)
 }
 
-// tellEagerly tells loads more often for a while after the start.
-func (c *Carrier) tellEagerly(now time.Time) {
+// sendLoadsEagerly sends loads at a shorter period for a while after the start.
+func (c *Carrier) sendLoadsEagerly(now time.Time) {
 	if peer.UsesStartupReportPeriod(now.Sub(c.started)) {
-		c.members.tellLoads(now)
+		c.members.sendLoads(now)
 	}
 }
 
-// Leave serves on until routers have stopped sending packets here.
+// Leave announces that the daemon leaves, and goes on forwarding until routers have stopped sending
+// packets to it.
 func (c *Carrier) Leave() {
 	began := time.Now()
 	c.departure.begin(began, c.cfg.Load().LingerLimit())
 	c.leaving.Store(true)
-	c.members.leave()
+	c.members.sendLeaving()
 	klog.InfoS("Leaving", "Flows", c.flows())
-	for now := began; !c.departure.over(now); now = time.Now() {
+	for now := began; !c.departure.mayEnd(now); now = time.Now() {
 		time.Sleep(departurePoll)
 	}
-	c.members.left()
+	c.members.sendLeft()
 	klog.InfoS("Left", "Flows", c.flows(), "After", time.Since(began))
 }
 
-// checkReady answers a readiness check.
+// checkReady answers a readiness check, and counts the ones it refuses while leaving.
 func (c *Carrier) checkReady() bool {
 	if c.Ready() {
 		return true
 	}
-	c.departure.checked(time.Now())
+	c.departure.readinessRefused(time.Now())
 	return false
 }
 
@@ -239,8 +239,8 @@
 	return c.engine.Flows()
 }
 
-// Reload puts changed settings in force. Addresses are those of open sockets and
-// stay until the process is started again.
+// Reload puts changed settings in force. It refuses a change of the zone or of an address of an
+// open socket, which needs a restart.
 func (c *Carrier) Reload(cfg *settings.Cookie) {
 	old := c.cfg.Load()
 	if cfg.DataAddress != old.DataAddress || cfg.ControlAddress != old.ControlAddress || cfg.Zone != old.Zone {
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/carrier/catalog.go
@@ -18,32 +18,33 @@
 )
 
 const (
-	// pullTimeout is how long the answer of another daemon that is asked for everything may take to
-	// begin.
+	// pullTimeout is how long another daemon may take to begin its answer to a request for its
+	// catalog.
 	pullTimeout = time.Second
-	// pullPause and urgentPause are the least times between two. A member that is told
-	// different lists by two readers would else fill the link of a small host.
+	// pullPause and urgentPause are the shortest pauses between two fetches. Without them, a member
+	// that receives different lists from two store readers would saturate the link of a small host.
 	pullPause   = 500 * time.Millisecond
 	urgentPause = 100 * time.Millisecond
-	// minTold is how many others that start are told everything at once by a small host, and
-	// toldByCore by one with a whole core. A list of 3000 upstreams is 150 KB; a hundred hosts that
-	// start together would fill a small host's link of 20 Mbit/s for seconds, and a large one has
-	// ten times as much. Those that are turned away ask again or read the store.
-	minTold    = 4
-	toldByCore = 64
-	// codeBusy is the code of the error that says so, of those that JSON-RPC 2.0
+	// minJoinSlots is how many starting daemons a small host serves a catalog to at the same time,
+	// and joinSlotsPerCore is how many a host with one whole core serves. A list of 3000 upstreams
+	// is 150 KB: a hundred hosts that start together would saturate a small host's link of 20
+	// Mbit/s for seconds. A large host has ten times that bandwidth. Daemons that are turned away
+	// ask again or read the store.
+	minJoinSlots     = 4
+	joinSlotsPerCore = 64
+	// codeBusy is the error code for a daemon that is turned away, from the range that JSON-RPC 2.0
 	// leaves to the application.
 	codeBusy = 1
 )
 
-// pull fetches everything from another daemon, one at a time. A list that differs
-// can wait longer than a new bundle: the store's readers differ for moments.
+// pull fetches the catalog of another daemon in the background, one fetch at a time. A differing
+// list can wait longer than a new bundle: the store's readers differ for moments.
 func (m *members) pull(from netip.AddrPort, urgent bool) {
-	if !m.pulling.CompareAndSwap(false, true) {
+	if !m.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	m.wg.Go(func() {
-		defer m.pulling.Store(false)
+		defer m.fetching.Store(false)
 		if err := m.fetch(from, pullTimeout); err != nil {
 			klog.V(1).InfoS("Catalog not fetched", "From", from, "Error", err)
 		}
@@ -55,30 +56,30 @@
 	})
 }
 
-// fetch asks another daemon for what this one lacks: a newer bundle, changed
-// upstreams, members, and upstreams that went.
+// fetch requests from another daemon what this one lacks: a newer bundle, changed upstreams,
+// members, and deregistered upstreams. timeout bounds the time until the answer begins.
 func (m *members) fetch(from netip.AddrPort, timeout time.Duration) error {
 	sent := time.Now()
 	c := m.c
 	c.mu.Lock()
-	params := peer.CatalogParams{AsOf: c.known.catalog.AsOf, Digest: c.known.catalog.Digest(), Whole: c.known.lacksWholeList}
-	if !c.known.lacksWholeBundle {
-		params.Version = c.known.history.Current().Version
+	params := peer.CatalogParams{AsOf: c.state.catalog.AsOf, Digest: c.state.catalog.Digest(), Whole: c.state.needsWholeList}
+	if !c.state.needsWholeBundle {
+		params.Version = c.state.history.Current().Version
 	}
 	c.mu.Unlock()
-	params.Joining = sent.Sub(c.started) < JoinedAfter
-	if !c.start.ready.happened() {
+	params.Joining = sent.Sub(c.started) < JoinDuration
+	if !c.start.ready.isSet() {
 		params.Zone = c.cfg.Load().Zone
 	}
 	m.mu.Lock()
-	params.MembersDigest = m.group.Digest()
+	params.MembersDigest = m.membership.Digest()
 	m.mu.Unlock()
-	got, err := m.askCatalog(from, params, timeout)
+	got, err := m.requestCatalog(from, params, timeout)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	m.do(func(g *peer.Membership) []peer.Envelope {
+	m.update(func(g *peer.Membership) []peer.Envelope {
 		g.Merge(now, got.Members)
 		return nil
 	})
@@ -87,27 +88,28 @@
 		if err != nil {
 			return err
 		}
-		c.takeUpdate(u, bundleSource{source: "Peer", name: from.String(), age: got.Age})
+		c.applyUpdate(u, contentSource{source: "Peer", name: from.String(), age: got.Age})
 	}
-	c.data.resets(c.takeCatalog(got, sent.Add(-got.Age), now))
-	m.tellNews(now)
+	c.data.resets(c.applyCatalog(got, sent.Add(-got.Age), now))
+	m.advertise(now)
 	c.mu.Lock()
-	origin := c.origin
+	origin := c.lastOrigin
 	c.mu.Unlock()
-	m.passNews(origin, now)
+	m.relayAdvertisement(origin, now)
 	return nil
 }
 
-// askCatalog asks another daemon for a catalog. An answer that stops in the middle is logged with how
-// much of it had come: that has to come once more, over a link that may be what stopped it.
-func (m *members) askCatalog(from netip.AddrPort, params peer.CatalogParams, timeout time.Duration) (*peer.Catalog, error) {
+// requestCatalog requests a catalog from another daemon. It logs an answer that breaks off with the
+// number of bytes received: they must be transferred once more, over a link that may have caused
+// the break.
+func (m *members) requestCatalog(from netip.AddrPort, params peer.CatalogParams, timeout time.Duration) (*peer.Catalog, error) {
 	began := time.Now()
 	sealed, t, err := peer.CallRPC[[]byte](
 		m.ctx, from, peer.RPC{Method: peer.MethodCatalog, Params: params},
 		transfer.Limits{FirstByteTimeout: timeout, StallTimeout: min(timeout, transfer.DefaultStallTimeout)}, &m.pulls,
 	)
 	if err != nil && t.Bytes() > 0 {
-		m.logBrokenOff(from, t.Bytes(), time.Since(began), err)
+		m.logIncomplete(from, t.Bytes(), time.Since(began), err)
 	}
 	if err != nil {
 		return nil, err
@@ -115,73 +117,73 @@
 	return m.catalog.Decode(sealed)
 }
 
-// pullLines is how many lines a second tell of fetches that broke off.
+// pullLines is the limit of log lines per second about incomplete fetches.
 const pullLines = 2
 
-func (m *members) logBrokenOff(from netip.AddrPort, got uint64, after time.Duration, err error) {
+func (m *members) logIncomplete(from netip.AddrPort, got uint64, after time.Duration, err error) {
 	m.mu.Lock()
 	left, ok := m.pullLines.Allow(time.Now())
 	m.mu.Unlock()
 	if ok {
-		klog.InfoS("Catalog broke off", "From", from, "After", after, "Bytes", got, "Error", err.Error(), "LeftOut", left)
+		klog.InfoS("Catalog incomplete", "From", from, "After", after, "Bytes", got, "Error", err.Error(), "LeftOut", left)
 	}
 }
 
-// takeCatalog takes in a list that another daemon knew as of a time. It returns resets for
-// flows that ended by it.
-func (c *Carrier) takeCatalog(got *peer.Catalog, as, now time.Time) []cookie.Reset {
+// applyCatalog applies a catalog that another daemon held as of the time confirmed. It returns
+// resets for the flows that end by it.
+func (c *Carrier) applyCatalog(got *peer.Catalog, confirmed, now time.Time) []cookie.Reset {
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.engine.LearnDeregisteredDead(got.Deregistered, now)
-	if got.AsOf.Epoch() < c.known.epoch {
-		return nil // It is of a store that is no longer.
+	if got.AsOf.Epoch() < c.state.epoch {
+		return nil // The sender's content predates the restore of the store.
 	}
-	c.seeEpoch(got.AsOf, "Peer", now)
+	c.observeEpoch(got.AsOf, "Peer", now)
 	if got.Complete {
-		c.takeEvacuations(got.Evacuated, bundleSource{source: "Peer", age: now.Sub(as)}, now)
-		c.confirmEvacuations(as)
+		c.applyEvacuations(got.Evacuated, contentSource{source: "Peer", age: now.Sub(confirmed)}, now)
+		c.confirmEvacuations(confirmed)
 	}
 	if got.Complete && got.Version <= version {
-		c.confirmBundleAt(as, got.BundleAsOf)
+		c.confirmBundleAt(confirmed, got.BundleAsOf)
 	}
-	if got.AsOf < c.known.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
-		return c.takeHeldBack(&got.Held, now)
+	if got.AsOf < c.state.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
+		return c.applyHeld(&got.Held, now)
 	}
-	c.known.catalog.SuspectRemovalsFor(got.SuspicionPeriod, now)
-	changed := c.changeList(func() bool {
+	c.state.catalog.SuspectRemovalsFor(got.SuspicionPeriod, now)
+	changed := c.changeCatalog(func() bool {
 		if got.HasRegistrations {
-			return c.known.catalog.Replace(got.Registrations, got.AsOf, now)
+			return c.state.catalog.Replace(got.Registrations, got.AsOf, now)
 		}
-		return c.known.catalog.Apply(got.Changes, got.AsOf, now)
+		return c.state.catalog.Apply(got.Changes, got.AsOf, now)
 	})
 	var resets []cookie.Reset
 	if changed {
-		resets = c.follow(now)
+		resets = c.updateEngine(now)
 	}
-	resets = append(resets, c.takeHeldBack(&got.Held, now)...)
-	// Changes may not have led to the sender's list: entries of the same revision that
-	// only one of the two has. Then the whole list is asked for next.
-	c.known.lacksWholeList = got.HasChanges && got.Digest != c.known.catalog.Digest()
-	if c.known.lacksWholeList {
+	resets = append(resets, c.applyHeld(&got.Held, now)...)
+	// The changes may not lead to the sender's list, if only one of the two has some entries of the
+	// same revision. Then the whole list is requested next.
+	c.state.needsWholeList = got.HasChanges && got.Digest != c.state.catalog.Digest()
+	if c.state.needsWholeList {
 		return resets
 	}
-	c.confirmList(as)
+	c.confirmList(confirmed)
 	if got.Complete && got.Version <= version {
-		c.reading.Received(as, false)
+		c.election.Received(confirmed, false)
 	}
 	return resets
 }
 
-// takeHeldBack takes over what another daemon goes by in place of what the store says. It returns resets for flows that
-// ended by it. c.mu is held.
-func (c *Carrier) takeHeldBack(h *peer.HeldContent, now time.Time) []cookie.Reset {
-	before := c.known.evacuated.Zones()
-	if c.known.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
-		c.putEvacuations(before, bundleSource{source: "Peer"}, now)
+// applyHeld takes over the upstreams and zones that another daemon holds in place of the
+// store's content. It returns resets for the flows that end by it. c.mu must be held.
+func (c *Carrier) applyHeld(h *peer.HeldContent, now time.Time) []cookie.Reset {
+	before := c.state.evacuated.Zones()
+	if c.state.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
+		c.enforceEvacuations(before, contentSource{source: "Peer"}, now)
 	}
-	if c.known.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
-		return c.follow(now)
+	if c.state.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
+		return c.updateEngine(now)
 	}
 	return nil
 }
@@ -198,15 +200,15 @@
 	}
 	if params.Joining {
 		select {
-		case m.telling <- struct{}{}:
-			defer func() { <-m.telling }()
+		case m.joinSlots <- struct{}{}:
+			defer func() { <-m.joinSlots }()
 		default:
 			return nil, &jsonrpc2.Error{Code: codeBusy, Message: "others are told already"}
 		}
 	}
-	out, update := m.c.tell(params)
+	out, update := m.c.catalogFor(params)
 	if params.Joining {
-		out.Members = m.toldMembers(&params)
+		out.Members = m.membersFor(&params)
 	}
 	if update != nil {
 		var err error
@@ -218,60 +220,60 @@
 	return sealed, eris.Wrap(err, "catalog")
 }
 
-// toldMembers returns the members that one which joins is told of.
-func (m *members) toldMembers(params *peer.CatalogParams) []peer.Member {
+// membersFor returns the members to send to a joining daemon.
+func (m *members) membersFor(params *peer.CatalogParams) []peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case params.Zone != "":
-		return append(m.group.BootstrapMembers(params.Zone, 0), m.group.Self())
-	case m.group.Digest() != params.MembersDigest:
-		return m.group.Members()
+		return append(m.membership.BootstrapMembers(params.Zone, 0), m.membership.Self())
+	case m.membership.Digest() != params.MembersDigest:
+		return m.membership.Members()
 	}
 	return nil
 }
 
-// tell returns what this daemon knows and the asker doesn't, and what leads to the bundle in force
-// from the asker's, nil if it has that. The latter is yet to be packed: that takes too long for
-// packets to wait.
-func (c *Carrier) tell(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
+// catalogFor returns what this daemon holds and the requester lacks, and the update from the
+// requester's bundle to the bundle in force, or nil if the requester has that already. The caller
+// packs the update after c.mu is released: packing takes too long for packets to wait.
+func (c *Carrier) catalogFor(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := &peer.Catalog{
-		Version: c.known.history.Current().Version, BundleAsOf: c.known.bundleAsOf, Evacuated: c.known.evacuated.Stored,
+		Version: c.state.history.Current().Version, BundleAsOf: c.state.bundleAsOf, Evacuated: c.state.evacuated.Stored,
 	}
 	var update *bundle.Update
 	if out.Version > params.Version {
-		update = c.known.history.Since(params.Version)
+		update = c.state.history.Since(params.Version)
 	}
 	if params.Joining {
 		out.Deregistered = c.engine.DeregisteredDead()
 	}
-	out.AsOf, out.Digest = c.known.catalog.AsOf, c.known.catalog.Digest()
-	out.SuspicionPeriod = c.known.catalog.RemovalSuspicion(now)
-	known := c.known.confirmedAll()
-	if known.IsZero() {
+	out.AsOf, out.Digest = c.state.catalog.AsOf, c.state.catalog.Digest()
+	out.SuspicionPeriod = c.state.catalog.RemovalSuspicion(now)
+	confirmed := c.state.confirmedAll()
+	if confirmed.IsZero() {
 		return out, update
 	}
-	out.Complete, out.Age = true, now.Sub(known)
+	out.Complete, out.Age = true, now.Sub(confirmed)
 	if params.Joining {
-		out.Held.Upstreams, out.Held.UpstreamsFor = c.known.catalog.HeldEntries(now)
-		out.Held.Zones, out.Held.ZonesFor = c.known.evacuated.HeldZones(now)
-		out.Changes = c.known.catalog.LastKnown()
+		out.Held.Upstreams, out.Held.UpstreamsFor = c.state.catalog.HeldEntries(now)
+		out.Held.Zones, out.Held.ZonesFor = c.state.evacuated.HeldZones(now)
+		out.Changes = c.state.catalog.LastKnown()
 		out.HasChanges = len(out.Changes) > 0
 	}
-	if params.AsOf == out.AsOf && params.Digest == c.known.catalog.Digest() || params.AsOf > out.AsOf {
+	if params.AsOf == out.AsOf && params.Digest == c.state.catalog.Digest() || params.AsOf > out.AsOf {
 		return out, update
 	}
 	out.HasChanges = false
 	if !params.Whole {
-		changes, ok := c.known.catalog.Since(params.AsOf)
+		changes, ok := c.state.catalog.Since(params.AsOf)
 		out.Changes, out.HasChanges = append(out.Changes, changes...), ok
 	}
 	if !out.HasChanges {
 		out.HasRegistrations = true
-		out.Registrations = c.known.catalog.List()
+		out.Registrations = c.state.catalog.List()
 	}
 	return out, update
 }
--- /dev/null
+++ b/internal/process/carrier/epoch.go
@@ -0,0 +1,87 @@
+package carrier
+
+import (
+	"sync/atomic"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"k8s.io/klog/v2"
+
+	"github.com/fescueshed/fescueshed/internal/process/logs"
+	"github.com/fescueshed/fescueshed/internal/version/objects"
+)
+
+// outdatedCounts counts, by kind, answers of the store as of an earlier position than was known
+// when the call began. It is safe for concurrent use.
+type outdatedCounts [numKinds]atomic.Uint64
+
+// outdatedLines is the limit of log lines per second about such answers of one kind.
+const outdatedLines = 2
+
+// observeEpoch records the epoch of an answer of the store or of a message, and logs a later one
+// than was known. c.mu must be held.
+func (c *Carrier) observeEpoch(asOf objects.Position, source string, now time.Time) {
+	before := c.state.epoch
+	if c.state.observeEpoch(asOf.Epoch(), now) {
+		klog.InfoS("Store restored", "Epoch", asOf.Epoch(), "Before", before, "AsOf", asOf, "Source", source)
+	}
+}
+
+// changeCatalog runs change, which changes the catalog and reports whether it did. If the catalog
+// then holds the list of a restored store, changeCatalog logs the held entries. c.mu must be held.
+func (c *Carrier) changeCatalog(change func() bool) bool {
+	before := c.state.catalog.AsOf
+	changed := change()
+	if now := c.state.catalog.AsOf; before != 0 && now.Epoch() != before.Epoch() {
+		older, missing := c.state.catalog.HeldCounts()
+		klog.InfoS("Upstreams of a restored store", "AsOf", now, "Before", before,
+			"HeldOverOlderEntry", older, "HeldThoughMissing", missing)
+	}
+	return changed
+}
+
+// expireHeldUpstreams releases upstreams that the store lacks or has with an older content since
+// its restore, once they have been held for long enough. c.mu must be held.
+func (c *Carrier) expireHeldUpstreams(now time.Time) {
+	older, missing := c.state.catalog.HeldCounts()
+	if !c.state.catalog.Expire(now) {
+		return
+	}
+	if o, m := c.state.catalog.HeldCounts(); o < older {
+		klog.InfoS("Held upstreams released", "Upstreams", older-o, "MissingGone", missing-m)
+	}
+	// Entries that are removed now end no flow by themselves: their upstreams are probed first.
+	_ = c.updateEngine(now)
+}
+
+// storeEpoch returns the latest known epoch of the store.
+func (c *Carrier) storeEpoch() objects.Epoch {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.epoch
+}
+
+// positionOf returns the position as of which a kind is known.
+func (c *Carrier) positionOf(k kind) objects.Position {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.position(k)
+}
+
+// checkAnswer returns ErrOutdated if the store answered as of an earlier position than was known
+// when the call began. Applying such an answer would confirm that nothing else has changed.
+func (f *follower[T]) checkAnswer(asOf, before objects.Position, now time.Time) error {
+	f.c.mu.Lock()
+	f.c.observeEpoch(asOf, "Store", now)
+	f.c.mu.Unlock()
+	if asOf >= before {
+		return nil
+	}
+	f.c.outdatedAnswers[f.kind].Add(1)
+	if left, ok := f.outdatedLimiter.Allow(now); ok {
+		klog.InfoS("Store answer is outdated", "Kind", f.kind, "AsOf", asOf, "Known", before, "LeftOut", left)
+	}
+	return eris.Wrapf(objects.ErrOutdated, "%v as of %v, known as of %v", f.kind, asOf, before)
+}
+
+func newOutdatedLimiter() *logs.Limiter { return logs.NewLimiter(outdatedLines) }
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/carrier/evacuation.go
@@ -17,7 +17,7 @@
 	for i := range s.Objects {
 		list = append(list, evacuatedZone(&s.Objects[i]))
 	}
-	c.readEvacuations(now, func(*evacuation.Zones) evacuation.Zones { return evacuation.NewZones(list, s.AsOf) })
+	c.applyStoredEvacuations(now, func(*evacuation.Zones) evacuation.Zones { return evacuation.NewZones(list, s.AsOf) })
 }
 
 func (c *Carrier) changeEvacuations(ch objects.Changes[bundle.Zone], now time.Time) {
@@ -25,45 +25,49 @@
 	for i := range ch.List {
 		changes = append(changes, evacuation.Change{Zone: evacuatedZone(&ch.List[i].Object), Lifted: ch.List[i].Deleted})
 	}
-	c.readEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.WithChanges(changes, ch.AsOf) })
+	c.applyStoredEvacuations(now, func(z *evacuation.Zones) evacuation.Zones { return z.WithChanges(changes, ch.AsOf) })
 }
 
-// evacuatedZone returns the zone that an object names. That it is there is the request, whatever it
-// holds: if one that can't be read counted for nothing, flows would enter a zone that somebody
-// is about to switch off.
+// evacuatedZone returns the zone that an object names. The object's existence is the request,
+// whatever its content is: if an object that can't be decoded were ignored, flows would enter a
+// zone that somebody is about to switch off.
 func evacuatedZone(o *objects.Object[bundle.Zone]) bundle.Zone { return bundle.Zone(o.Name) }
 
-// readEvacuations takes in what this daemon itself has read. next makes it from what it knew.
-func (c *Carrier) readEvacuations(now time.Time, next func(*evacuation.Zones) evacuation.Zones) {
+// applyStoredEvacuations applies evacuations that this daemon itself has read from the store. next
+// builds the new state from the stored one.
+func (c *Carrier) applyStoredEvacuations(now time.Time, next func(*evacuation.Zones) evacuation.Zones) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	z := next(&c.known.evacuated.Stored)
-	c.takeEvacuations(z, bundleSource{source: "Store"}, now)
-	if z.AsOf >= c.known.evacuated.Stored.AsOf {
+	z := next(&c.state.evacuated.Stored)
+	c.applyEvacuations(z, contentSource{source: "Store"}, now)
+	if z.AsOf >= c.state.evacuated.Stored.AsOf {
 		c.confirmEvacuations(now)
 	}
-	c.readHere()
+	c.noteOwnRead()
 }
 
-// takeEvacuations takes in evacuated zones unless a later position's are known. c.mu is held.
-func (c *Carrier) takeEvacuations(z evacuation.Zones, from bundleSource, now time.Time) {
-	before := c.known.evacuated.Zones()
-	if c.known.evacuated.Update(z, now) {
-		c.putEvacuations(before, from, now)
+// applyEvacuations applies evacuated zones unless those of a later position are held. c.mu must be
+// held.
+func (c *Carrier) applyEvacuations(z evacuation.Zones, from contentSource, now time.Time) {
+	before := c.state.evacuated.Zones()
+	if c.state.evacuated.Update(z, now) {
+		c.enforceEvacuations(before, from, now)
 	}
 }
 
-// expireEvacuations lets zones be used again that the store lacks since it was restored from a snapshot. c.mu is held.
+// expireEvacuations ends the evacuations that the store lacks since it was restored from a
+// snapshot, once they have been held for long enough. c.mu must be held.
 func (c *Carrier) expireEvacuations(now time.Time) {
-	before := c.known.evacuated.Zones()
-	if c.known.evacuated.Expire(now) {
-		c.putEvacuations(before, bundleSource{source: "StoreRestored"}, now)
+	before := c.state.evacuated.Zones()
+	if c.state.evacuated.Expire(now) {
+		c.enforceEvacuations(before, contentSource{source: "StoreRestored"}, now)
 	}
 }
 
-// putEvacuations puts evacuated zones in force in place of those before. c.mu is held.
-func (c *Carrier) putEvacuations(before []bundle.Zone, from bundleSource, now time.Time) {
-	zones := c.known.evacuated.Zones()
+// enforceEvacuations makes the engine use the evacuated zones in force, and logs the differences
+// from before. c.mu must be held.
+func (c *Carrier) enforceEvacuations(before []bundle.Zone, from contentSource, now time.Time) {
+	zones := c.state.evacuated.Zones()
 	if slices.Equal(zones, before) {
 		return
 	}
@@ -75,44 +79,44 @@
 	}
 	for _, zone := range before {
 		if !slices.Contains(zones, zone) {
-			c.logEvacuation("Zone taken back", zone, from)
+			c.logEvacuation("Zone evacuation ended", zone, from)
 		}
 	}
 }
 
-func (c *Carrier) logEvacuation(what string, zone bundle.Zone, from bundleSource) {
-	klog.InfoS(what, "Zone", zone, "AsOf", c.known.evacuated.Stored.AsOf, "Source", from.source, "Name", from.name,
+func (c *Carrier) logEvacuation(what string, zone bundle.Zone, from contentSource) {
+	klog.InfoS(what, "Zone", zone, "AsOf", c.state.evacuated.Stored.AsOf, "Source", from.source, "Name", from.name,
 		"Age", from.age, "Flows", c.engine.FlowsIn(zone))
 }
 
-// confirmEvacuations notes as of when the evacuated zones are known. c.mu is held.
+// confirmEvacuations records the time as of which the evacuated zones are known. c.mu must be held.
 func (c *Carrier) confirmEvacuations(at time.Time) {
-	c.known.confirm(kindEvacuations, at)
-	c.noteReady()
+	c.state.confirm(kindEvacuations, at)
+	c.signalIfReady()
 }
 
-// knownEvacuations returns the position from which evacuations are to be watched, zero if they must be
+// evacuationsPosition returns the position from which to watch evacuations, or zero if they must be
 // listed.
-func (c *Carrier) knownEvacuations() objects.Position {
+func (c *Carrier) evacuationsPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ready() {
+	if !c.canPlaceFlowsLocked() {
 		return 0
 	}
-	return c.known.evacuated.Stored.AsOf
+	return c.state.evacuated.Stored.AsOf
 }
 
-// Evacuated returns the zones that get no new flow here, in order.
+// Evacuated returns the zones that get no new flows from this daemon, in order.
 func (c *Carrier) Evacuated() []bundle.Zone {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known.evacuated.Zones()
+	return c.state.evacuated.Zones()
 }
 
-// evacuationStatus tells since when zones are evacuated here and how many flows are still open
-// there. c.mu is held.
+// evacuationStatus returns since when zones are evacuated on this daemon and how many of its flows
+// are still open there. c.mu must be held.
 func (c *Carrier) evacuationStatus() []status.EvacuationStatus {
-	zones := c.known.evacuated.Zones()
+	zones := c.state.evacuated.Zones()
 	out := make([]status.EvacuationStatus, 0, len(zones))
 	for _, zone := range zones {
 		out = append(out, status.EvacuationStatus{Zone: zone, Since: c.engine.EvacuatedSince(zone), Flows: c.engine.FlowsIn(zone)})
--- a/internal/process/carrier/http.go
+++ b/internal/process/carrier/http.go
@@ -25,7 +25,7 @@
 }
 
 func (c *Carrier) startMetrics(ctx context.Context) (func(), error) {
-	// The set is made when it is first asked for: its fifty names take a small host some
+	// The set is created by the first request for it: its fifty names take a small host some
 	// milliseconds, while callers wait for it to start.
 	set := sync.OnceValue(c.metricSet)
 	mux := http.NewServeMux()
@@ -46,11 +46,11 @@
 		return nil, eris.Wrapf(err, "http: listen on %s", at)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = s.Serve(l) }() // It ends with the error that the server was closed.
+	go func() { _ = s.Serve(l) }() // Serve returns http.ErrServerClosed after Close.
 	return func() { _ = s.Close() }, nil
 }
 
-// metricSet names the counters by Prometheus conventions.
+// metricSet returns the metrics, named by Prometheus conventions.
 func (c *Carrier) metricSet() *metrics.Set {
 	s := metrics.NewSet()
 	count := func(name string, load func() uint64) {
@@ -74,8 +74,8 @@
 	})
 	count("fescueshed_store_objects_unusable_total", c.unusable.Load)
 	count("fescueshed_probes_total", c.probes.sent.Load)
-	count("fescueshed_control_received_bytes_total", c.members.inBytes.Load)
-	count("fescueshed_control_sent_bytes_total", c.members.outBytes.Load)
+	count("fescueshed_control_received_bytes_total", c.members.receivedBytes.Load)
+	count("fescueshed_control_sent_bytes_total", c.members.sentBytes.Load)
 	count("fescueshed_control_dropped_total", c.members.dropped.Load)
 	count("fescueshed_catalogs_fetched_total", c.members.pulls.Begun.Load)
 	countTransfers(count, "fescueshed_catalogs", &c.members.pulls)
@@ -88,34 +88,34 @@
 		s.NewGauge(fmt.Sprintf("fescueshed_store_kind_age_seconds{kind=%q}", k), func() float64 {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return time.Since(c.known.confirmed[k]).Seconds()
+			return time.Since(c.state.confirmed[k]).Seconds()
 		})
 	}
 	s.NewGauge("fescueshed_store_epoch", func() float64 { return float64(c.storeEpoch()) })
 	for k := range numKinds {
-		count(fmt.Sprintf("fescueshed_store_answers_outdated_total{kind=%q}", k), c.outdated[k].Load)
+		count(fmt.Sprintf("fescueshed_store_answers_outdated_total{kind=%q}", k), c.outdatedAnswers[k].Load)
 		s.NewGauge(fmt.Sprintf("fescueshed_store_revision{kind=%q}", k), func() float64 {
-			return float64(c.knownAsOf(k).Revision())
+			return float64(c.positionOf(k).Revision())
 		})
 	}
 	s.NewGauge("fescueshed_store_age_seconds", func() float64 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return time.Since(c.known.confirmedAll()).Seconds()
+		return time.Since(c.state.confirmedAll()).Seconds()
 	})
 	return s
 }
 
-// countTransfers names the counters of what was fetched: what is wasted came and had to be thrown
-// away, since the rest of it didn't come in time.
+// countTransfers adds the counters of transfers. Wasted bytes were received and discarded, since
+// the rest of the transfer didn't arrive in time.
 func countTransfers(count func(string, func() uint64), name string, t *transfer.Counts) {
 	count(name+"_failed_total", t.Failed.Load)
 	count(name+"_bytes_total", t.Bytes.Load)
 	count(name+"_wasted_bytes_total", t.Wasted.Load)
 }
 
-// writeRequests writes evacuated zones and how requests ended by service, which are known only as they
-// come.
+// writeRequests writes the evacuated zones, and the numbers of requests by service and outcome.
+// Their labels are known only when they occur.
 func (c *Carrier) writeRequests(w io.Writer) {
 	s := c.Status()
 	status.WriteEvacuated(w, s.Evacuated)
@@ -128,17 +128,17 @@
 	}
 }
 
-// histogram is what metrics.Histogram offers to a writer of its values.
+// histogram is the part of metrics.Histogram that is needed to write its values.
 type histogram interface {
 	VisitNonZeroBuckets(f func(vmrange string, count uint64))
 }
 
-// writeHistograms writes the histograms, which live with what they measure, as the
-// library's own set would.
+// writeHistograms writes the histograms in the library's own format. They are fields of the things
+// that they measure, not members of a metrics.Set.
 func (c *Carrier) writeHistograms(w io.Writer) {
 	for name, h := range map[string]histogram{
-		"fescueshed_answer_seconds":     &c.answered,
-		"fescueshed_probe_seconds":      &c.probed,
+		"fescueshed_answer_seconds":     &c.answerSeconds,
+		"fescueshed_probe_seconds":      &c.probeSeconds,
 		"fescueshed_store_call_seconds": &c.platform.Store.Counts.Latency,
 	} {
 		total := uint64(0)
--- a/internal/process/carrier/keys_test.go
+++ b/internal/process/carrier/keys_test.go
@@ -11,36 +11,36 @@
 	"github.com/fescueshed/fescueshed/internal/process/settings"
 )
 
-// dropped returns how many messages of others a balancer dropped.
+// dropped returns the number of messages from others that a balancer dropped.
 func (n *node) dropped() int {
 	GinkgoHelper()
 	return n.metric(GinkgoT(), "fescueshed_control_dropped_total")
 }
 
-// sendNews sends a balancer news of one that doesn't exist.
-func sendNews(n *node, k peer.Keys) {
+// sendForgedAdvertisement sends a balancer an advertisement from a balancer that doesn't exist.
+func sendForgedAdvertisement(n *node, k peer.Keys) {
 	GinkgoHelper()
-	forger, err := peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement)
+	codec, err := peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement)
 	Expect(err).NotTo(HaveOccurred())
-	b, err := forger.Encode(&peer.Advertisement{From: 9, Bundle: 1 << 40})
+	b, err := codec.Encode(&peer.Advertisement{From: 9, Bundle: 1 << 40})
 	Expect(err).NotTo(HaveOccurred())
 	conn, err := net.Dial("udp4", n.cfg.ControlAddress.String())
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
-	_, err = conn.Write(append([]byte{newsProtocol}, b...))
+	_, err = conn.Write(append([]byte{advertisementProtocol}, b...))
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// newsProtocol is the first byte of a datagram with news.
-const newsProtocol = 2
+// advertisementProtocol is the first byte of an advertisement's datagram.
+const advertisementProtocol = 2
 
 var _ = Describe("The secret of balancers", func() {
 	next := settings.Secret("the next secret of the world")
 
-	// Operators replace the secret host by host while the balancers serve. One that can't read
-	// the others' messages takes them for dead, reads the store itself, and is taken for
-	// dead by them.
-	It("is replaced while they run without a message that is lost", func() {
+	// Operators replace the secret host by host while the balancers run. Guards against a balancer
+	// that can't read the others' messages: it takes them for dead, reads the store itself, and is
+	// taken for dead by them.
+	It("is replaced while they run without losing a message", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
 		first := settings.Secret(nodes[0].cfg.Secret)
@@ -54,26 +54,26 @@
 				cfg := *n.cfg
 				cfg.Secret, cfg.AcceptedSecrets = step.seal, step.accept
 				n.Reload(&cfg)
-				time.Sleep(300 * time.Millisecond) // Messages go between those that are a step apart.
+				time.Sleep(300 * time.Millisecond) // Balancers that are one step apart exchange messages.
 			}
 			v := w.Roll()
-			Eventually(inForce(nodes, v), patience).Should(BeTrue())
+			Eventually(inForce(nodes, v), maxWait).Should(BeTrue())
 		}
 		for _, n := range nodes {
 			Expect(n.Members()).To(Equal(3))
 			Expect(n.dropped()).To(BeZero())
 		}
-		sendNews(nodes[0], peer.Keys{Seal: first})
-		Eventually(nodes[0].dropped, patience).Should(Equal(1), "the old secret is worth nothing any more")
+		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: first})
+		Eventually(nodes[0].dropped, maxWait).Should(Equal(1), "the old secret is no longer accepted")
 	})
 
-	// Somebody on the control network sends news of a balancer that doesn't exist, sealed
-	// with a secret of their own.
-	It("keeps strangers' messages out", func() {
+	// Somebody on the control network sends an advertisement of a balancer that doesn't exist,
+	// sealed with another secret.
+	It("rejects messages of unknown peers", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		sendNews(nodes[0], peer.Keys{Seal: []byte("a secret of their own")})
-		Eventually(nodes[0].dropped, patience).Should(Equal(1))
+		sendForgedAdvertisement(nodes[0], peer.Keys{Seal: []byte("a secret of their own")})
+		Eventually(nodes[0].dropped, maxWait).Should(Equal(1))
 		Expect(nodes[0].Members()).To(Equal(3))
 	})
 })
--- a/internal/process/carrier/loads.go
+++ b/internal/process/carrier/loads.go
@@ -11,60 +11,60 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// zoneLoads sums up what this daemon and its children count at upstreams, which at the
-// zone's reader is the whole zone. Each member sends one report to its parent and gets
-// one sum, so the cost of a member doesn't grow with their number. It is safe for
-// concurrent use.
+// zoneLoads sums up what this daemon and its children in the report tree count at upstreams. At the
+// zone's store reader, which is the root, the sum covers the whole zone. Each member sends one
+// report to its parent and receives one sum, so the cost of a member doesn't grow with the number
+// of members. zoneLoads is safe for concurrent use.
 type zoneLoads struct {
-	mu   sync.Mutex
-	told map[peer.ID]toldLoads
-	// others are the loads of other zones, by the daemon that told them.
-	others map[peer.ID]toldZone
+	mu      sync.Mutex
+	reports map[peer.ID]receivedReport
+	// zoneReports holds the loads of other zones, by the daemon that sent them.
+	zoneReports map[peer.ID]receivedZoneReport
 }
 
-type toldZone struct {
+type receivedZoneReport struct {
 	at    time.Time
 	zones []peer.ZoneLoad
 }
 
-type toldLoads struct {
+type receivedReport struct {
 	at     time.Time
 	report *peer.Report
 }
 
 const (
-	// reportFor is how long a report counts: four of its periods.
-	reportFor = 4 * sweepPeriod
-	// zoneReportFor is how long the word of another zone counts: two of its periods and the
-	// way. A zone that is cut off is silent, and each new flow that goes there meanwhile is lost
-	// for 200 ms.
-	zoneReportFor = 2*sweepPeriod + 100*time.Millisecond
+	// reportTTL is how long a report counts: four of its periods.
+	reportTTL = 4 * sweepPeriod
+	// zoneReportTTL is how long the loads of another zone count: two of their periods and the
+	// transit time. A zone that is cut off sends nothing, and each new flow that is sent there
+	// meanwhile is lost for 200 ms.
+	zoneReportTTL = 2*sweepPeriod + 100*time.Millisecond
 )
 
 func newZoneLoads() *zoneLoads {
-	return &zoneLoads{told: make(map[peer.ID]toldLoads), others: make(map[peer.ID]toldZone)}
+	return &zoneLoads{reports: make(map[peer.ID]receivedReport), zoneReports: make(map[peer.ID]receivedZoneReport)}
 }
 
-func (z *zoneLoads) put(r *peer.Report, now time.Time) {
+func (z *zoneLoads) putReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.told[r.From] = toldLoads{at: now, report: r}
+	z.reports[r.From] = receivedReport{at: now, report: r}
 }
 
-func (z *zoneLoads) putZone(r *peer.Report, now time.Time) {
+func (z *zoneLoads) putZoneReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.others[r.From] = toldZone{at: now, zones: r.Zones}
+	z.zoneReports[r.From] = receivedZoneReport{at: now, zones: r.Zones}
 }
 
-// zones returns the loads of other zones of the last while.
+// zones returns the loads of other zones received within zoneReportTTL.
 func (z *zoneLoads) zones(now time.Time) []peer.ZoneLoad {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var out []peer.ZoneLoad
-	for id, t := range z.others {
-		if now.Sub(t.at) > zoneReportFor {
-			delete(z.others, id)
+	for id, t := range z.zoneReports {
+		if now.Sub(t.at) > zoneReportTTL {
+			delete(z.zoneReports, id)
 			continue
 		}
 		out = append(out, t.zones...)
@@ -72,18 +72,18 @@
 	return out[:min(len(out), peer.MaxZones)]
 }
 
-// sum returns this daemon's last report and those of its children added up, the busiest
-// upstreams first. Reports of others are left out: they were sent here while this daemon
-// was taken for their parent, and the parent that they have now counts them too. A zone
-// whose reader is cut off one way, and comes and goes in the others' view, would else
-// seem twice as busy as it is, and send its flows to other zones.
+// sum returns the sum of this daemon's last report and those of its children, the busiest upstreams
+// first. Reports of other members are left out: they were sent here while this daemon was taken for
+// their parent, and their present parent counts them too. Otherwise, a zone whose store reader is
+// cut off in one direction, and is seen alive and dead alternately by the others, would seem twice
+// as loaded as it is, and would send its flows to other zones.
 func (z *zoneLoads) sum(self peer.ID, children []*peer.Member, now time.Time) *peer.Report {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var reports []*peer.Report
-	for id, t := range z.told {
-		if now.Sub(t.at) > reportFor {
-			delete(z.told, id)
+	for id, t := range z.reports {
+		if now.Sub(t.at) > reportTTL {
+			delete(z.reports, id)
 			continue
 		}
 		if id == self || slices.ContainsFunc(children, func(m *peer.Member) bool { return m.ID == id }) {
@@ -93,11 +93,12 @@
 	return peer.SumReports(self, reports)
 }
 
-// tellLoads sends what this daemon and its children count to its parent, or the sum to
-// all if it reads for the zone, and the zone's load to the readers of others.
-func (m *members) tellLoads(now time.Time) {
+// sendLoads sends the counts of this daemon and its children to its parent. A daemon that is its
+// zone's store reader instead sends the sum to its whole zone, and the zone's load to the store
+// readers of other zones.
+func (m *members) sendLoads(now time.Time) {
 	v := m.view.Load()
-	m.loads.put(m.c.ownReport(v.Self), now)
+	m.loads.putReport(m.c.ownReport(v.Self), now)
 	sum := m.loads.sum(v.Self, v.Reporters(), now)
 	if p := v.Parent(); p != nil {
 		send(m, protocolReport, m.reports, sum, []*peer.Member{p})
@@ -109,8 +110,8 @@
 		}
 	}
 	ownLost, lost := m.c.storeLost(now)
-	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.stamp.Add(1), lost
-	m.c.takeLoads(sum, now)
+	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.lastSequence.Add(1), lost
+	m.c.applyLoads(sum, now)
 	send(m, protocolReport, m.reports, sum, v.Children(peer.TreeForward, true))
 	own := &peer.Report{From: v.Self, Zones: m.c.ownZone(), StoreLost: ownLost}
 	send(m, protocolReport, m.reports, own, v.OtherZoneReaders())
@@ -123,41 +124,41 @@
 	return list[:min(len(list), peer.MaxZones)]
 }
 
-func (m *members) heardReport(r *peer.Report, now time.Time) {
+func (m *members) receiveReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
-	if r.StoreLost && m.c.hearStoreLost(now) && !r.IsSum {
-		m.tellLoads(now) // Its own zone waits for it.
+	if r.StoreLost && m.c.noteStoreLost(now) && !r.IsSum {
+		m.sendLoads(now) // Its own zone needs this report.
 	}
 	switch {
 	case r.DeadOnly:
-		m.c.hint(r.Dead, now)
-		m.passOn(r, v.Recipients(false), now)
+		m.c.probeSuspects(r.Dead, now)
+		m.relayReport(r, v.Recipients(false), now)
 	case r.IsSum:
-		m.c.takeLoads(r, now)
-		m.passOn(r, v.Children(peer.TreeForward, false), now)
+		m.c.applyLoads(r, now)
+		m.relayReport(r, v.Children(peer.TreeForward, false), now)
 	case len(r.Zones) > 0:
-		m.loads.putZone(r, now)
+		m.loads.putZoneReport(r, now)
 	default:
-		m.loads.put(r, now)
+		m.loads.putReport(r, now)
 	}
 }
 
-// passOn sends a report on to this daemon's children, once.
-func (m *members) passOn(r *peer.Report, to []*peer.Member, now time.Time) {
-	if len(to) > 0 && m.passed.first(r.From, r.Sequence, now) {
+// relayReport relays a report to the given members, once.
+func (m *members) relayReport(r *peer.Report, to []*peer.Member, now time.Time) {
+	if len(to) > 0 && m.relayed.isNew(r.From, r.Sequence, now) {
 		send(m, protocolReport, m.reports, r, to)
 	}
 }
 
-// ownReport returns what this daemon counts.
+// ownReport returns what this daemon counts at upstreams.
 func (c *Carrier) ownReport(self peer.ID) *peer.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engine.Report(self)
 }
 
-// takeLoads takes in the zone's sum.
-func (c *Carrier) takeLoads(r *peer.Report, now time.Time) {
+// applyLoads applies the sum of the zone's loads.
+func (c *Carrier) applyLoads(r *peer.Report, now time.Time) {
 	c.mu.Lock()
 	ejected := c.engine.ApplyZoneReport(r, now)
 	c.mu.Unlock()
@@ -166,17 +167,17 @@
 	}
 }
 
-// tellFound tells the zone at once of upstreams that were found dead: the others
-// would find out by requests that fail. It tells as many as one message holds: where more fall silent together, the
-// others have found some by themselves.
-func (m *members) tellFound(ids []bundle.UpstreamID) {
+// announceDead immediately announces to the zone the upstreams that this daemon found dead; the
+// other daemons would otherwise detect it by failing requests. It announces as many as one message
+// holds: where more fail together, the others have detected some themselves.
+func (m *members) announceDead(ids []bundle.UpstreamID) {
 	v := m.view.Load()
-	r := &peer.Report{From: v.Self, DeadOnly: true, Dead: ids[:min(len(ids), peer.MaxDead)], Sequence: m.stamp.Add(1)}
+	r := &peer.Report{From: v.Self, DeadOnly: true, Dead: ids[:min(len(ids), peer.MaxDead)], Sequence: m.lastSequence.Add(1)}
 	send(m, protocolReport, m.reports, r, v.Recipients(true))
 }
 
-// hint has upstreams looked at that another daemon found dead.
-func (c *Carrier) hint(ids []bundle.UpstreamID, now time.Time) {
+// probeSuspects probes upstreams that another daemon found dead.
+func (c *Carrier) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
 	c.mu.Lock()
 	for _, id := range ids {
 		c.engine.ReportedDead(id, now)
--- a/internal/process/carrier/members.go
+++ b/internal/process/carrier/members.go
@@ -23,60 +23,60 @@
 
 const (
 	protocolMembership protocol = iota + 1
-	protocolNews
+	protocolAdvertisement
 	protocolReport
 )
 
-// members speaks to the other daemons.
+// members communicates with the other daemons.
 type members struct {
-	c       *Carrier
-	ctx     context.Context
-	ports   *udpport.Ports
-	swim    *peer.SequencedCodec[peer.Message, *peer.Message]
-	news    *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement]
-	reports *peer.SequencedCodec[peer.Report, *peer.Report]
-	catalog *peer.Codec[peer.Catalog, *peer.Catalog]
-	loads   *zoneLoads
-	lines   *memberLog
-	wg      sync.WaitGroup
-	// stamp is that of the last report which others pass on, passed are those of theirs.
-	stamp  atomic.Uint64
-	passed *stamps
+	c              *Carrier
+	ctx            context.Context
+	ports          *udpport.Ports
+	swim           *peer.SequencedCodec[peer.Message, *peer.Message]
+	advertisements *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement]
+	reports        *peer.SequencedCodec[peer.Report, *peer.Report]
+	catalog        *peer.Codec[peer.Catalog, *peer.Catalog]
+	loads          *zoneLoads
+	changes        *memberLog
+	wg             sync.WaitGroup
+	// lastSequence is the sequence number of this daemon's last report that others relay. relayed
+	// records the numbers of their reports that this daemon relayed.
+	lastSequence atomic.Uint64
+	relayed      *relayedSequences
 
-	// view is what is known of the members.
+	// view is the present view of the members.
 	view atomic.Pointer[peer.View]
-	// pulling is set while everything is fetched from another daemon.
-	pulling atomic.Bool
-	// telling bounds how many others are told everything at once.
-	telling chan struct{}
+	// fetching is set while a catalog is fetched from another daemon.
+	fetching atomic.Bool
+	// joinSlots limits how many joining daemons are served a catalog at the same time.
+	joinSlots chan struct{}
 
-	// met is told when a daemon that knew no other one knows some.
-	met chan struct{}
+	// firstMemberMet receives a value when a daemon that knew no other one knows some.
+	firstMemberMet chan struct{}
 
-	// mu guards what follows.
-	mu       sync.Mutex
-	group    *peer.Membership
-	epoch    uint64
-	nextSeed time.Time
-	// seedPeriod is the pause after the next question to the seeds.
+	// mu guards the fields below.
+	mu         sync.Mutex
+	membership *peer.Membership
+	epoch      uint64
+	nextSeed   time.Time
+	// seedPeriod is the pause after the next request to the seeds.
 	seedPeriod time.Duration
 
-	in, out, inBytes, outBytes, dropped atomic.Uint64
-	// pulls counts what was fetched from other daemons. pullLines bounds the lines about fetches
-	// that failed.
+	received, sent, receivedBytes, sentBytes, dropped atomic.Uint64
+	// pulls counts fetches from other daemons. pullLines limits the log lines about failed fetches.
 	pulls     transfer.Counts
 	packer    peer.Packer
 	pullLines *logs.Limiter
 }
 
-// The periods at which the seeds are asked. Each daemon asks often at first, until it knows
-// another one, and each time after twice as long: a thousand hosts that start together take a
-// small seed seconds to answer, and longer with each question that is repeated. Afterwards a rare
-// question finds the other side of a split that neither side noticed.
+// The periods at which the seeds are contacted. Each daemon starts with seedPeriod and doubles the
+// pause until it knows another daemon: a thousand hosts that start together take a small seed
+// seconds to answer, and longer with each repeated request. Afterwards, a rare request finds the
+// other side of a split that neither side noticed.
 const (
-	seedPeriod      = 300 * time.Millisecond
-	maxSeedPeriod   = 2400 * time.Millisecond
-	knownSeedPeriod = 20 * time.Second
+	seedPeriod       = 300 * time.Millisecond
+	maxSeedPeriod    = 2400 * time.Millisecond
+	joinedSeedPeriod = 20 * time.Second
 )
 
 // milliCores is the unit of peer.Member.Size.
@@ -85,11 +85,11 @@
 func (c *Carrier) startMembers(ctx context.Context) (func(), error) {
 	cfg := c.cfg.Load()
 	m := &members{
-		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), lines: newMemberLog(), passed: newStamps(),
+		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedSequences(),
 		pullLines: logs.NewLimiter(pullLines),
-		telling:   make(chan struct{}, max(minTold, int(toldByCore*cfg.CPUShare))), met: make(chan struct{}, 1),
+		joinSlots: make(chan struct{}, max(minJoinSlots, int(joinSlotsPerCore*cfg.CPUShare))), firstMemberMet: make(chan struct{}, 1),
 	}
-	m.stamp.Store(uint64(c.started.UnixNano()))
+	m.lastSequence.Store(uint64(c.started.UnixNano()))
 	if err := m.newCodecs(keys(cfg)); err != nil {
 		return nil, err
 	}
@@ -110,8 +110,8 @@
 		Size:        uint32(cfg.CPUShare * milliCores),
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	m.group = peer.NewMembership(peer.Config{ProbePeriod: time.Duration(cfg.ProbePeriod), Updates: peer.MaxUpdates}, self, rng)
-	m.view.Store(m.group.View())
+	m.membership = peer.NewMembership(peer.Config{ProbePeriod: time.Duration(cfg.ProbePeriod), Updates: peer.MaxUpdates}, self, rng)
+	m.view.Store(m.membership.View())
 	c.members = m
 	ctx, cancel := context.WithCancel(ctx)
 	m.ctx = ctx
@@ -127,16 +127,16 @@
 	}, nil
 }
 
-// serve answers the questions of others from when this daemon knows something. Until
-// then they are refused at once: after a loss of power all hosts ask the seeds, and those
-// that waited for a seed which starts too would serve some 100 ms later.
+// serve answers requests of other daemons once this daemon can place flows. Until then connections
+// are refused immediately: after a power loss all hosts ask the seeds, and hosts that waited for a
+// seed that is starting too would begin to forward some 100 ms later.
 func (m *members) serve(ctx context.Context) {
 	if !m.c.awaitReady(ctx) {
 		return
 	}
 	stop, err := peer.ServeRPC(ctx, m.c.cfg.Load().ControlAddress, jsonrpc2.HandlerWithError(m.handleRPC))
 	if err != nil {
-		klog.ErrorS(err, "Other daemons can't ask this one")
+		klog.ErrorS(err, "Control protocol can't be served to other daemons")
 		return
 	}
 	<-ctx.Done()
@@ -148,7 +148,7 @@
 	if m.swim, err = peer.NewSequencedCodec[peer.Message](k, peer.DomainSequencedMembership); err != nil {
 		return err
 	}
-	if m.news, err = peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement); err != nil {
+	if m.advertisements, err = peer.NewSequencedCodec[peer.Advertisement](k, peer.DomainAdvertisement); err != nil {
 		return err
 	}
 	if m.reports, err = peer.NewSequencedCodec[peer.Report](k, peer.DomainReport); err != nil {
@@ -161,17 +161,17 @@
 	return err
 }
 
-// setKeys replaces the secrets that daemons share.
+// setKeys replaces the secrets shared by the daemons.
 func (m *members) setKeys(k peer.Keys) {
 	m.swim.SetKeys(k)
-	m.news.SetKeys(k)
+	m.advertisements.SetKeys(k)
 	m.reports.SetKeys(k)
 	m.catalog.SetKeys(k)
 }
 
 func (m *members) datagram(from netip.AddrPort, b []byte) {
-	m.in.Add(1)
-	m.inBytes.Add(uint64(len(b)))
+	m.received.Add(1)
+	m.receivedBytes.Add(uint64(len(b)))
 	if len(b) == 0 {
 		m.dropped.Add(1)
 		return
@@ -181,12 +181,12 @@
 	switch body := b[1:]; protocol(b[0]) {
 	case protocolMembership:
 		err = receive(m.swim, body, func(msg *peer.Message) {
-			m.do(func(g *peer.Membership) []peer.Envelope { return g.Receive(now, from, msg) })
+			m.update(func(g *peer.Membership) []peer.Envelope { return g.Receive(now, from, msg) })
 		})
-	case protocolNews:
-		err = receive(m.news, body, func(n *peer.Advertisement) { m.heardNews(from, n, now) })
+	case protocolAdvertisement:
+		err = receive(m.advertisements, body, func(n *peer.Advertisement) { m.receiveAdvertisement(from, n, now) })
 	case protocolReport:
-		err = receive(m.reports, body, func(r *peer.Report) { m.heardReport(r, now) })
+		err = receive(m.reports, body, func(r *peer.Report) { m.receiveReport(r, now) })
 	default:
 		err = peer.ErrMessage
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-// receive decodes a message and passes it on.
+// receive decodes a message and passes it to handle.
 func receive[T any, P interface {
 	*T
 	Check() error
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// send encodes a message once and sends it to each of several members.
+// send encodes a message once and sends it to each of the given members.
 func send[T any, P interface {
 	*T
 	Check() error
@@ -230,28 +230,29 @@
 
 func (m *members) write(b []byte, to netip.AddrPort, fresh bool) {
 	if m.ports.Send(b, to, fresh) {
-		m.out.Add(1)
-		m.outBytes.Add(uint64(len(b)))
+		m.sent.Add(1)
+		m.sentBytes.Add(uint64(len(b)))
 	}
 }
 
-// do changes the membership, puts a changed view in force and sends messages.
-func (m *members) do(f func(g *peer.Membership) []peer.Envelope) {
+// update changes the membership by f, publishes a changed view, and sends the messages that f
+// returns.
+func (m *members) update(f func(g *peer.Membership) []peer.Envelope) {
 	m.mu.Lock()
-	out := f(m.group)
+	out := f(m.membership)
 	var view, old *peer.View
-	if e := m.group.Epoch(); e != m.epoch {
+	if e := m.membership.Epoch(); e != m.epoch {
 		m.epoch = e
 		old = m.view.Load()
-		view = m.group.View()
+		view = m.membership.View()
 		m.view.Store(view)
 	}
 	m.mu.Unlock()
 	if view != nil {
-		m.lines.changed(old, view, time.Now())
+		m.changes.changed(old, view, time.Now())
 		if len(old.Members) == 1 && len(view.Members) > 1 {
 			select {
-			case m.met <- struct{}{}:
+			case m.firstMemberMet <- struct{}{}:
 			default:
 			}
 		}
@@ -267,27 +268,28 @@
 	}
 }
 
-// joinAfter are the times after the start at which everything is fetched from
-// another daemon. Gossip alone takes ten seconds to tell 78 daemons that start
-// together of each other; by the second time each has asked a seed.
-var joinAfter = [...]time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
+// joinFetchTimes are the times after the start at which a catalog is fetched from another daemon.
+// Gossip alone takes ten seconds to inform 78 daemons that start together of each other; by the
+// second time each has asked a seed.
+var joinFetchTimes = [...]time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
 
-// JoinedAfter is when the last of them is over.
-const JoinedAfter = 6 * time.Second
+// JoinDuration is the time after the start by which the last of these fetches is over.
+const JoinDuration = 6 * time.Second
 
-// join fetches what others know: the bundle, upstreams and members.
+// join fetches the catalogs of others: the bundle, upstreams and members.
 func (m *members) join(ctx context.Context) {
-	m.learn(ctx)
-	for _, after := range joinAfter {
+	m.bootstrap(ctx)
+	for _, after := range joinFetchTimes {
 		sleep(ctx, after/2+rand.N(after)-time.Since(m.c.started))
-		if to := m.anyone(); to.IsValid() && ctx.Err() == nil {
+		if to := m.anyMember(); to.IsValid() && ctx.Err() == nil {
 			m.pull(to, false)
 		}
 	}
 }
 
-// anyone returns the address of a seed that is a member, or else of any member.
-func (m *members) anyone() netip.AddrPort {
+// anyMember returns the address of a random seed that is a member, or else of a random member. It
+// is invalid if there is no other member.
+func (m *members) anyMember() netip.AddrPort {
 	v := m.view.Load()
 	var seeds, others []netip.AddrPort
 	for i := range v.Members {
@@ -308,8 +310,9 @@
 	return netip.AddrPort{}
 }
 
-// elsewhere returns the address of a member of another zone, if there is one.
-func (m *members) elsewhere() netip.AddrPort {
+// memberInOtherZone returns the address of a random member of another zone. It is invalid if there
+// is none.
+func (m *members) memberInOtherZone() netip.AddrPort {
 	v := m.view.Load()
 	zone := m.c.cfg.Load().Zone
 	var others []netip.AddrPort
@@ -324,10 +327,10 @@
 	return others[rand.IntN(len(others))]
 }
 
-// tick lets the membership see the time and asks the seeds.
+// tick advances the membership's timers and contacts the seeds when that is due.
 func (m *members) tick(now time.Time) {
 	version := m.c.inForce.Version()
-	m.do(func(g *peer.Membership) []peer.Envelope {
+	m.update(func(g *peer.Membership) []peer.Envelope {
 		g.SetBundle(version)
 		out := g.Tick(now)
 		if now.Before(m.nextSeed) {
@@ -335,24 +338,25 @@
 		}
 		m.nextSeed = now.Add(m.seedPeriod)
 		m.seedPeriod = min(2*m.seedPeriod, maxSeedPeriod)
-		if len(m.view.Load().Members) > 1 && m.c.start.ready.happened() {
-			m.nextSeed = now.Add(knownSeedPeriod/2 + rand.N(knownSeedPeriod))
+		if len(m.view.Load().Members) > 1 && m.c.start.ready.isSet() {
+			m.nextSeed = now.Add(joinedSeedPeriod/2 + rand.N(joinedSeedPeriod))
 		}
 		return append(out, g.Seed(m.c.cfg.Load().Seeds)...)
 	})
 }
 
-// metServing reports whether a member that can place flows was heard.
-func (m *members) metServing() bool {
+// servingMemberSeen reports whether this daemon has received a message of a member that can place
+// flows.
+func (m *members) servingMemberSeen() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.group.ServingMemberSeen()
+	return m.membership.ServingMemberSeen()
 }
 
-func (m *members) leave() {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeaving(time.Now()) })
+func (m *members) sendLeaving() {
+	m.update(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeaving(time.Now()) })
 }
 
-func (m *members) left() {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeft(time.Now()) })
+func (m *members) sendLeft() {
+	m.update(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeft(time.Now()) })
 }
--- a/internal/process/carrier/relay.go
+++ b/internal/process/carrier/relay.go
@@ -9,65 +9,69 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// stamps tells reports that were passed on already from new ones, so that a report that
-// comes by both trees, or goes round while daemons differ in who is there, is passed on
-// once. It is safe for concurrent use.
-type stamps struct {
+// relayedSequences records the sequence numbers of relayed reports, so that a report that arrives
+// by both trees, or circulates while members' views differ, is relayed once. It is safe for
+// concurrent use.
+type relayedSequences struct {
 	mu   sync.Mutex
-	last map[peer.ID]stamped
+	last map[peer.ID]seenSequence
 }
 
-type stamped struct {
-	stamp uint64
-	at    time.Time
+type seenSequence struct {
+	sequence uint64
+	at       time.Time
 }
 
-// stampFor is how long a stamp counts. A daemon that starts again with a clock that
-// jumped back begins with lower stamps; its reports are passed on again after this.
-const stampFor = 2 * time.Second
+// sequenceTTL is how long a sequence number counts. A daemon that restarts with a clock that jumped
+// back begins with lower numbers; its reports are relayed again after this time.
+const sequenceTTL = 2 * time.Second
 
-func newStamps() *stamps { return &stamps{last: make(map[peer.ID]stamped)} }
+func newRelayedSequences() *relayedSequences {
+	return &relayedSequences{last: make(map[peer.ID]seenSequence)}
+}
 
-// first reports whether a report wasn't seen before, and notes it.
-func (s *stamps) first(from peer.ID, stamp uint64, now time.Time) bool {
+// isNew reports whether a report wasn't seen before, and records its sequence number.
+func (s *relayedSequences) isNew(from peer.ID, sequence uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.last[from]; ok && stamp <= old.stamp && now.Sub(old.at) < stampFor {
+	if old, ok := s.last[from]; ok && sequence <= old.sequence && now.Sub(old.at) < sequenceTTL {
 		return false
 	}
-	s.last[from] = stamped{stamp: stamp, at: now}
+	s.last[from] = seenSequence{sequence: sequence, at: now}
 	return true
 }
 
-// forget drops what no longer counts.
-func (s *stamps) forget(now time.Time) {
+// expire deletes sequence numbers that no longer count.
+func (s *relayedSequences) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.last {
-		if now.Sub(l.at) >= stampFor {
+		if now.Sub(l.at) >= sequenceTTL {
 			delete(s.last, id)
 		}
 	}
 }
 
-// word is what news say, to tell new ones from those that came by the other tree.
-type word struct {
+// advertisementSummary identifies the content of an advertisement, to tell new ones from copies
+// that arrived by the other tree.
+type advertisementSummary struct {
 	bundle bundle.Version
 	asOf   objects.Position
 	digest uint64
 	// evacuated is the digest of the evacuated zones.
 	evacuated uint64
-	// as is when the store last confirmed it.
-	as time.Time
+	// confirmed is when the store last confirmed the content.
+	confirmed time.Time
 }
 
-// sameFor is by how much the age of one word differs by the ways that it took.
-const sameFor = 100 * time.Millisecond
+// ageTolerance is by how much the time of confirmation of one advertisement may differ between the
+// paths that it took.
+const ageTolerance = 100 * time.Millisecond
 
-// newer reports whether w says more than what was passed on before.
-func (w word) newer(than word) bool {
+// newer reports whether w covers more than what was relayed before.
+func (w advertisementSummary) newer(than advertisementSummary) bool {
 	if w.bundle != than.bundle || w.asOf != than.asOf || w.digest != than.digest || w.evacuated != than.evacuated {
 		return true
 	}
-	return w.as.Sub(than.as) > sameFor
+	return w.confirmed.Sub(than.confirmed) > ageTolerance
 }
--- a/internal/process/carrier/start.go
+++ b/internal/process/carrier/start.go
@@ -13,35 +13,35 @@
 	"github.com/fescueshed/fescueshed/internal/connection/peer"
 )
 
-// startup is how a daemon comes to know enough to place flows. In its order:
+// startup is the sequence by which a daemon obtains the state that it needs to place flows:
 //
-//	sockets are open      callers' packets wait there
-//	seeds are asked       they answer with who can tell more, see peer.Membership.Introductions
-//	a member tells all    or the daemon reads the store, as peer.Start decides
-//	ready                 flows are placed, others may ask
-//	the rest              all members, and what was known of upstreams that went
+//	sockets are open        callers' packets wait in them
+//	seeds are asked         they answer with members that can send more, see peer.Membership.BootstrapMembers
+//	a catalog is fetched    from a member, or the daemon reads the store, as peer.Startup decides
+//	ready                   flows are placed, other daemons may ask this one
+//	the rest is fetched     all members, and the deregistered upstreams
 //
-// After a loss of all power the seeds are as dark as the daemon, and it turns to the store. If
-// the list of upstreams turns out to be long there, it is held back before it is read: all hosts
-// together fill the store's link with it, and a small one takes longest to read it. A larger
-// member has started sooner, and tells the same in a third of the bytes. It is safe for
-// concurrent use.
+// After a power loss of all hosts the seeds are down as well, and the daemon reads the store. If
+// the list of upstreams there turns out to be large, the daemon delays reading it: all hosts
+// together saturate the store's link with it, and a small host takes longest to read it. A larger
+// member has started earlier and sends the same content in a third of the bytes. startup is safe
+// for concurrent use.
 type startup struct {
 	peer.Startup
-	// ready is set when the daemon knows enough to place flows, callersWait when a caller's
-	// packet has come before, listIsLong when the store has a long list, and nobodyLarger when
-	// there is no larger member to be asked for it.
-	ready, callersWait, listIsLong, nobodyLarger event
+	// ready is set when the daemon can place flows, callersWaiting when a caller's packet has
+	// arrived before that, listIsLarge when the store has a large list of upstreams, and
+	// noLargerMember when there is no larger member to fetch it from.
+	ready, callersWaiting, listIsLarge, noLargerMember event
 }
 
 func newStartup(began time.Time, first bool) *startup {
 	return &startup{
 		Startup: peer.Startup{StartedAt: began, FirstStart: first},
-		ready:   newEvent(), callersWait: newEvent(), listIsLong: newEvent(), nobodyLarger: newEvent(),
+		ready:   newEvent(), callersWaiting: newEvent(), listIsLarge: newEvent(), noLargerMember: newEvent(),
 	}
 }
 
-// event is something that happens once. It is safe for concurrent use.
+// event is a condition that is set once and stays set. It is safe for concurrent use.
 type event struct {
 	once *sync.Once
 	done chan struct{}
@@ -49,9 +49,9 @@
 
 func newEvent() event { return event{once: new(sync.Once), done: make(chan struct{})} }
 
-func (e *event) happen() { e.once.Do(func() { close(e.done) }) }
+func (e *event) set() { e.once.Do(func() { close(e.done) }) }
 
-func (e *event) happened() bool {
+func (e *event) isSet() bool {
 	select {
 	case <-e.done:
 		return true
@@ -61,75 +61,79 @@
 }
 
 const (
-	// otherKindAfter is more than one of the two lists comes after the other, on small hosts too.
-	otherKindAfter = 200 * time.Millisecond
-	// startPoll is how often a daemon that isn't ready looks whether it should read the store.
+	// otherKindTimeout is more than the time between the arrivals of the two lists, on small hosts
+	// too.
+	otherKindTimeout = 200 * time.Millisecond
+	// startPoll is how often a daemon that isn't ready checks whether it should read the store.
 	startPoll = 10 * time.Millisecond
-	// hurriedPause lies between two questions to larger members while callers wait: one that isn't
-	// ready refuses at once, and is ready some 10 ms later.
-	hurriedPause = 15 * time.Millisecond
-	// tellerAnswer bounds a question. A list of 300 upstreams takes 50 ms on a host with a
-	// sixteenth of a core.
-	tellerAnswer = 250 * time.Millisecond
-	// longList is from how many bytes on a page counts as long: that of some 400 upstreams, which
-	// a host with a sixteenth of a core and 20 Mbit/s takes 100 ms to read. To ask for contacts and
-	// then a larger member takes it 80 ms, however long the list is.
-	longList = 96 << 10
-	// tellerHedge is how long a daemon relies on a larger member before it reads the store all the
-	// same. That one may be gone, starting too, or behind a cut.
-	tellerHedge = 100 * time.Millisecond
+	// largerMemberPause is the pause between two requests to larger members while callers wait: a
+	// member that isn't ready refuses immediately, and is ready some 10 ms later.
+	largerMemberPause = 15 * time.Millisecond
+	// startFetchTimeout bounds a request for a catalog during the start. A list of 300 upstreams
+	// takes 50 ms on a host with a sixteenth of a core.
+	startFetchTimeout = 250 * time.Millisecond
+	// largeListBytes is the size of a page in bytes from which a list counts as large: the size for
+	// some 400 upstreams, which a host with a sixteenth of a core and 20 Mbit/s takes 100 ms to
+	// read. Fetching the contacts and then a catalog from a larger member takes such a host 80 ms,
+	// however long the list is.
+	largeListBytes = 96 << 10
+	// largerMemberTimeout is how long a daemon waits for a larger member before it reads the store
+	// itself. That member may be removed, starting as well, or unreachable behind a network
+	// partition.
+	largerMemberTimeout = 100 * time.Millisecond
 )
 
-// learn asks others until this daemon can place flows.
-func (m *members) learn(ctx context.Context) {
+// bootstrap fetches catalogs from other daemons until this daemon can place flows.
+func (m *members) bootstrap(ctx context.Context) {
 	s := m.c.start
-	long := s.listIsLong.done
+	large := s.listIsLarge.done
 	var larger []netip.AddrPort
-	for try := 0; ctx.Err() == nil && !s.ready.happened(); {
-		if tellers := append(slices.Clone(larger), m.tellers()...); len(tellers) > 0 {
-			m.ask(tellers[try%len(tellers)])
+	for try := 0; ctx.Err() == nil && !s.ready.isSet(); {
+		if sources := append(slices.Clone(larger), m.catalogSources()...); len(sources) > 0 {
+			m.greetAndFetch(sources[try%len(sources)])
 			try++
 		}
 		pause := s.RequestDelay(rand.Float64())
 		if len(larger) > 0 {
-			pause = hurriedPause
+			pause = largerMemberPause
 		}
 		select {
 		case <-ctx.Done():
 		case <-s.ready.done:
-		case <-m.met:
+		case <-m.firstMemberMet:
 		case <-time.After(pause):
-		case <-long:
-			long, try = nil, 0
-			if larger = m.largerOnes(ctx); len(larger) == 0 {
-				s.nobodyLarger.happen()
+		case <-large:
+			large, try = nil, 0
+			if larger = m.largerMembers(ctx); len(larger) == 0 {
+				s.noLargerMember.set()
 			}
 		}
 	}
 }
 
-// logReady writes the line of the end of a start: how long it took and what it cost.
+// logReady logs the end of the start: how long it took and how many calls it needed.
 func (m *members) logReady(ctx context.Context) {
 	if !m.c.awaitReady(ctx) {
 		return
 	}
 	s := m.c.start
 	klog.InfoS("Ready", "After", time.Since(s.StartedAt).Round(time.Millisecond),
-		"CallersWaited", s.callersWait.happened(), "LongList", s.listIsLong.happened(),
+		"CallersWaited", s.callersWaiting.isSet(), "LongList", s.listIsLarge.isSet(),
 		"StoreCalls", m.c.platform.Store.Counts.Calls.Load(), "MembersAsked", m.pulls.Begun.Load(),
 		"Rank", m.view.Load().ReaderRank(), "Members", len(m.view.Load().Members))
 }
 
-// ask fetches what another daemon knows, and makes itself known there.
-func (m *members) ask(to netip.AddrPort) {
-	m.do(func(g *peer.Membership) []peer.Envelope { return g.PingAddress(to) })
-	if err := m.fetch(to, tellerAnswer); err != nil {
-		klog.V(1).InfoS("Member didn't tell", "Member", to, "Error", err)
+// greetAndFetch introduces this daemon to another one and fetches that one's catalog.
+func (m *members) greetAndFetch(to netip.AddrPort) {
+	m.update(func(g *peer.Membership) []peer.Envelope { return g.PingAddress(to) })
+	if err := m.fetch(to, startFetchTimeout); err != nil {
+		klog.V(1).InfoS("Catalog not fetched from member", "Member", to, "Error", err)
 	}
 }
 
-// tellers returns where members are asked by a daemon that starts, see peer.View.Tellers.
-func (m *members) tellers() []netip.AddrPort {
+// catalogSources returns the RPC addresses of members from which a starting daemon fetches a
+// catalog, see peer.View.CatalogSources.
+func (m *members) catalogSources() []netip.AddrPort {
 	list := m.view.Load().CatalogSources()
 	out := make([]netip.AddrPort, 0, len(list))
 	for _, o := range list {
@@ -138,9 +142,10 @@
 	return out
 }
 
-// largerOnes returns members of the own zone that are so much larger that they have read the
-// store before. If none is known, the contacts in the store name some.
-func (m *members) largerOnes(ctx context.Context) []netip.AddrPort {
+// largerMembers returns the RPC addresses of members of this daemon's zone that are so much larger
+// that they have read the store before it. If no such member is known, it returns those that the
+// contacts in the store name.
+func (m *members) largerMembers(ctx context.Context) []netip.AddrPort {
 	v := m.view.Load()
 	self := v.Member(v.Self)
 	var out []netip.AddrPort
@@ -163,47 +168,49 @@
 	return o.Value.LargerInZone(self.Zone, self.Size)
 }
 
-// wantsList is asked before a list of upstreams is read from the store, once its size is known.
-// If it is long, a larger member gets time to tell it. It reports whether the list is still wanted.
-func (c *Carrier) wantsList(ctx context.Context, size int64) bool {
-	if size < longList {
+// listStillNeeded is called before a list of upstreams is read from the store, once its size in
+// bytes is known. If the list is large, it gives a larger member time to send its catalog. It
+// reports whether the list still has to be read.
+func (c *Carrier) listStillNeeded(ctx context.Context, size int64) bool {
+	if size < largeListBytes {
 		return true
 	}
-	c.start.listIsLong.happen()
+	c.start.listIsLarge.set()
 	select {
 	case <-ctx.Done():
 	case <-c.start.ready.done:
-	case <-c.start.nobodyLarger.done:
-	case <-time.After(tellerHedge):
+	case <-c.start.noLargerMember.done:
+	case <-time.After(largerMemberTimeout):
 	}
-	return !c.start.ready.happened()
+	return !c.start.ready.isSet()
 }
 
-// awaitOtherKind waits until this daemon can place flows, for otherKindAfter at most: the store of
-// a system that starts for the first time has no bundle yet.
+// awaitOtherKind waits until this daemon can place flows, but at most otherKindTimeout: the store
+// of a system that starts for the first time has no bundle yet.
 func (c *Carrier) awaitOtherKind(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-c.start.ready.done:
-	case <-time.After(otherKindAfter):
+	case <-time.After(otherKindTimeout):
 	}
 }
 
-// awaitTurn waits until it is time to look again whether this daemon reads: idlePoll, or until a
-// caller's packet comes that a daemon which isn't ready has to read for.
-func (c *Carrier) awaitTurn(ctx context.Context) {
-	if c.start.ready.happened() || c.start.callersWait.happened() {
-		sleep(ctx, idlePoll)
+// awaitReadCheck waits until the next check whether this daemon should read the store. It waits
+// readCheckPeriod if the daemon is ready or callers are waiting. Otherwise it waits startPoll, or
+// until a caller's packet arrives for which the daemon may have to read the store.
+func (c *Carrier) awaitReadCheck(ctx context.Context) {
+	if c.start.ready.isSet() || c.start.callersWaiting.isSet() {
+		sleep(ctx, readCheckPeriod)
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-c.start.callersWait.done:
+	case <-c.start.callersWaiting.done:
 	case <-time.After(startPoll):
 	}
 }
 
-// awaitReady waits until the daemon knows enough to place flows, false if ctx ends before.
+// awaitReady waits until the daemon can place flows. It returns false if ctx ends before.
 func (c *Carrier) awaitReady(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/process/carrier/status.go
+++ b/internal/process/carrier/status.go
@@ -34,19 +34,19 @@
 	return out
 }
 
-// storeStatus tells as of when the store's content is known. c.mu is held.
+// storeStatus returns as of when the store's content is known. c.mu must be held.
 func (c *Carrier) storeStatus(now time.Time) *status.StoreStatus {
-	out := &status.StoreStatus{Epoch: c.known.epoch, EpochSince: c.known.epochSince}
-	out.HeldOverOlder, out.HeldThoughMissing = c.known.catalog.HeldCounts()
+	out := &status.StoreStatus{Epoch: c.state.epoch, EpochSince: c.state.epochSince}
+	out.HeldOverOlder, out.HeldThoughMissing = c.state.catalog.HeldCounts()
 	for k := range numKinds {
 		out.Kinds = append(out.Kinds, status.StoreKindStatus{
-			Kind: k.String(), AsOf: c.known.asOf(k).String(), Age: now.Sub(c.known.confirmed[k]).Seconds(),
+			Kind: k.String(), AsOf: c.state.position(k).String(), Age: now.Sub(c.state.confirmed[k]).Seconds(),
 		})
 	}
 	return out
 }
 
-// dropStatus returns what was dropped or reset, by cause.
+// dropStatus returns the number of packets dropped or reset, by cause.
 func dropStatus(k *cookie.Counters) []status.DropStatus {
 	var out []status.DropStatus
 	for cause := cookie.CauseNone; cause < cookie.NumCauses; cause++ {
