--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -33,27 +33,27 @@
 	opts      Options
 	routing   *bundle.Routing
 	upstreams map[bundle.UpstreamID]*Upstream
-	table     table
+	index     upstreamIndex
 	flows     map[Key]*flow
-	// unknown holds when cookies of upstreams that aren't known were first seen.
-	unknown map[Cookie]time.Time
+	// unknownCookies holds when cookies of upstreams that aren't known were first seen.
+	unknownCookies map[Cookie]time.Time
 	// confirmed is the time at which the list was last known to be complete.
-	confirmed time.Time
-	steady    steadiness
-	// heard is when any upstream last showed a sign of life.
-	heard time.Time
-	// unsure are upstreams that left packets unanswered while nobody was heard, nextCheck when it may next be
+	confirmed     time.Time
+	confirmations confirmationRun
+	// lastSeen is when any upstream last showed a sign of life.
+	lastSeen time.Time
+	// pendingSuspects are upstreams that left packets unanswered while nobody was heard, nextCheck when it may next be
 	// found out whose trouble that is.
-	unsure    []*Upstream
-	nextCheck time.Time
-	waits     waits
-	// usual is how long answers of each service usually take.
-	usual map[string]time.Duration
-	// turned is when the windows of outcomes last turned.
-	turned  time.Time
-	busy    map[string]busyness
-	zones   map[zoneService]zoneLoad
-	reaches map[bundle.Zone]*reach
+	pendingSuspects []*Upstream
+	nextCheck       time.Time
+	waiting         waitQueues
+	// typicalLatency is how long answers of each service usually take.
+	typicalLatency map[string]time.Duration
+	// outcomesRotatedAt is when the windows of outcomes last outcomesRotatedAt.
+	outcomesRotatedAt time.Time
+	activity          map[string]flowActivity
+	zoneLoads         map[zoneService]zoneLoad
+	zoneHealth        map[bundle.Zone]*zoneHealth
 	// evacuated holds since when zones are evacuated.
 	evacuated  map[bundle.Zone]time.Time
 	candidates []upstream.Candidate
@@ -71,8 +71,8 @@
 	Restarts uint64
 }
 
-// idleDefault is when a flow is forgotten if no service says otherwise.
-const idleDefault = time.Minute
+// defaultIdleTimeout is when a flow is forgotten if no service says otherwise.
+const defaultIdleTimeout = time.Minute
 
 // NewEngine returns an engine without routes and upstreams.
 func NewEngine(o Options) *Engine {
@@ -80,18 +80,18 @@
 		o.OnAnswered = func(time.Duration) {}
 	}
 	return &Engine{
-		opts:      o,
-		upstreams: make(map[bundle.UpstreamID]*Upstream),
-		table:     newTable(),
-		flows:     make(map[Key]*flow),
-		waits:     make(waits),
-		usual:     make(map[string]time.Duration),
-		unknown:   make(map[Cookie]time.Time),
-		busy:      make(map[string]busyness),
-		zones:     make(map[zoneService]zoneLoad),
-		reaches:   make(map[bundle.Zone]*reach),
-		requests:  make(map[string]*Requests),
-		LoadTable: upstream.NewBoard(),
+		opts:           o,
+		upstreams:      make(map[bundle.UpstreamID]*Upstream),
+		index:          newUpstreamIndex(),
+		flows:          make(map[Key]*flow),
+		waiting:        make(waitQueues),
+		typicalLatency: make(map[string]time.Duration),
+		unknownCookies: make(map[Cookie]time.Time),
+		activity:       make(map[string]flowActivity),
+		zoneLoads:      make(map[zoneService]zoneLoad),
+		zoneHealth:     make(map[bundle.Zone]*zoneHealth),
+		requests:       make(map[string]*Requests),
+		LoadTable:      upstream.NewBoard(),
 	}
 }
 
@@ -124,13 +124,13 @@
 			route.Service, route.Connections = s, s.Connections
 			u.Route = &route
 		}
-		if u.strange != nil && !e.strange(u, u.strange) {
-			out = append(out, e.list(u.strange, now)...)
+		if u.mismatched != nil && !e.hasMismatchedService(u, u.mismatched) {
+			out = append(out, e.register(u.mismatched, now)...)
 		}
 	}
 	for k, f := range e.flows {
 		if r.RouteAt(k.Service()) == nil {
-			out = append(out, e.end(k, f, CauseNoRoute))
+			out = append(out, e.endFlow(k, f, CauseNoRoute))
 		}
 	}
 	return out
@@ -143,85 +143,85 @@
 	var out []Reset
 	for i := range changes {
 		if ch := &changes[i]; ch.Gone {
-			e.unlist(ch.ID, now)
+			e.deregister(ch.ID, now)
 		} else {
-			out = append(out, e.list(&ch.Registration, now)...)
+			out = append(out, e.register(&ch.Registration, now)...)
 		}
 	}
 	return out
 }
 
-// unlist takes an upstream off the list. It is looked at before its flows are reset.
-func (e *Engine) unlist(id bundle.UpstreamID, now time.Time) {
+// deregister takes an upstream off the list. It is looked at before its flows are reset.
+func (e *Engine) deregister(id bundle.UpstreamID, now time.Time) {
 	u := e.upstreams[id]
-	if u == nil || !u.listed {
+	if u == nil || !u.registered {
 		return
 	}
-	e.table.remove(u)
-	u.listed = false
-	u.goneAt = now
-	u.doubt(now)
+	e.index.removeFromService(u)
+	u.registered = false
+	u.deregisteredAt = now
+	u.suspect(now)
 }
 
-// list takes in an entry.
-func (e *Engine) list(r *registry.Registration, now time.Time) []Reset {
+// register takes in an entry.
+func (e *Engine) register(r *registry.Registration, now time.Time) []Reset {
 	u := e.upstreams[r.ID]
 	switch {
-	case u != nil && u.listed && u.entry.SameContent(r):
+	case u != nil && u.registered && u.registration.SameContent(r):
 		// After a restore of the store each entry has another position. What was counted from its last change goes on.
-		u.entry = *r
+		u.registration = *r
 		return nil
-	case u != nil && r.Unusable && (u.listed || !r.Known()):
+	case u != nil && r.Unusable && (u.registered || !r.Known()):
 		// Its open flows go on by what was known before.
-		u.entry.Revision, u.entry.Unusable = r.Revision, true
+		u.registration.Revision, u.registration.Unusable = r.Revision, true
 		return nil
 	case u == nil && !r.Known():
-		e.unlisted(r.ID, netip.AddrPort{}, now)
+		e.addDeregistered(r.ID, netip.AddrPort{}, now)
 		return nil
 	case u == nil:
 		u = &Upstream{Cookie: Of(r.ID), load: e.LoadTable.Load(r.ID)}
 		e.upstreams[r.ID] = u
-	case e.strange(u, r):
-		strange := *r
-		u.strange = &strange
+	case e.hasMismatchedService(u, r):
+		mismatched := *r
+		u.mismatched = &mismatched
 		return nil
 	}
 	var out []Reset
-	if restart := r.Restarted(&u.entry); restart != registry.RestartNone {
-		out = e.restarted(u, r, restart == registry.RestartCertain, now)
+	if restart := r.Restarted(&u.registration); restart != registry.RestartNone {
+		out = e.handleRestart(u, r, restart == registry.RestartCertain, now)
 	}
-	e.enlist(u, r, now)
+	e.applyRegistration(u, r, now)
 	return out
 }
 
-// enlist puts an entry in force.
-func (e *Engine) enlist(u *Upstream, r *registry.Registration, now time.Time) {
-	if u.listed {
-		e.table.remove(u)
+// applyRegistration puts an entry in force.
+func (e *Engine) applyRegistration(u *Upstream, r *registry.Registration, now time.Time) {
+	if u.registered {
+		e.index.removeFromService(u)
 	}
-	u.coldUntil = now.Add(r.Warmup)
-	if !u.listed && u.health != HealthGood {
+	u.warmingUntil = now.Add(r.Warmup)
+	if !u.registered && u.health != HealthGood {
 		u.nextProbe = now // It is back on the list: look at once whether it lives.
 	}
-	u.listed, u.entry, u.strange = true, *r, nil
-	e.table.forgetCookie(u)
+	u.registered, u.registration, u.mismatched = true, *r, nil
+	e.index.releaseCookie(u)
 	u.Route = e.upstreamRoute(r)
-	u.reach = e.reachOf(r.Zone)
-	e.table.nameCookie(u)
-	e.table.add(u)
+	u.zoneHealth = e.zoneHealthOf(r.Zone)
+	e.index.assignCookie(u)
+	e.index.addToService(u)
 }
 
-// strange reports whether an entry gives an upstream that is known a service that no bundle
+// hasMismatchedService reports whether an entry gives an upstream that is known a service that no bundle
 // names. Another writer may have replaced it: open flows must not follow it to another
 // address, or they would reach an upstream that resets them.
-func (e *Engine) strange(u *Upstream, r *registry.Registration) bool {
-	return e.routing != nil && u.listed && r.Service != u.Route.Service.Name && e.routing.Registered(r.Service) == nil
+func (e *Engine) hasMismatchedService(u *Upstream, r *registry.Registration) bool {
+	return e.routing != nil && u.registered && r.Service != u.Route.Service.Name && e.routing.Registered(r.Service) == nil
 }
 
 // ConfirmRegistrations notes that the list was complete at a time.
 func (e *Engine) ConfirmRegistrations(at time.Time) {
 	if at.After(e.confirmed) {
-		e.steady.confirmed(at, e.confirmed)
+		e.confirmations.add(at, e.confirmed)
 		e.confirmed = at
 	}
 }
@@ -246,32 +246,32 @@
 	}
 	r := e.routing.RouteAt(p.Key.Service())
 	if r == nil {
-		return refuse(p, CauseNoRoute)
+		return resetVerdict(p, CauseNoRoute)
 	}
-	if p.opens() {
-		return e.open(p, r, now)
+	if p.opensFlow() {
+		return e.decideFirst(p, r, now)
 	}
-	return e.pass(p, r, now)
+	return e.decideEstablished(p, r, now)
 }
 
-// refuse resets the flow of a packet. A reset is never answered by a reset.
-func refuse(p *Packet, c Cause) Verdict {
+// resetVerdict resets the flow of a packet. A reset is never answered by a reset.
+func resetVerdict(p *Packet, c Cause) Verdict {
 	if p.Flags.Has(FlagRST) {
 		return Verdict{Cause: c}
 	}
 	return Verdict{Action: ActionReset, Cause: c, Reset: Reset{Key: p.Key, Seq: p.Ack, Cause: c}}
 }
 
-// end forgets a flow and returns the reset that tells its caller.
-func (e *Engine) end(k Key, f *flow, c Cause) Reset {
-	e.lost(f)
-	e.forget(k, f)
+// endFlow forgets a flow and returns the reset that tells its caller.
+func (e *Engine) endFlow(k Key, f *flow, c Cause) Reset {
+	e.countFailed(f)
+	e.forgetFlow(k, f)
 	e.Counters.Reset[c]++
-	return Reset{Key: k, Seq: f.ack, Cause: c, Upstream: f.up.Route}
+	return Reset{Key: k, Seq: f.ack, Cause: c, Upstream: f.upstream.Route}
 }
 
-func (e *Engine) forget(k Key, f *flow) {
-	f.uncount()
-	f.up.flows--
+func (e *Engine) forgetFlow(k Key, f *flow) {
+	f.removeFromLoad()
+	f.upstream.flowRecords--
 	delete(e.flows, k)
 }
--- a/internal/connection/cookie/evacuation.go
+++ b/internal/connection/cookie/evacuation.go
@@ -27,7 +27,7 @@
 func (e *Engine) FlowsIn(z bundle.Zone) int {
 	n := 0
 	for _, f := range e.flows {
-		if f.opened && !f.closing && f.up.Route.Zone == z {
+		if f.opened && !f.closing && f.upstream.Route.Zone == z {
 			n++
 		}
 	}
--- a/internal/connection/cookie/grey.go
+++ b/internal/connection/cookie/grey.go
@@ -15,7 +15,7 @@
 	lastAnswered, lastFailed uint32
 }
 
-func (o *outcomes) turn() {
+func (o *outcomes) rotate() {
 	o.lastAnswered, o.lastFailed = o.answered, o.failed
 	o.answered, o.failed = 0, 0
 }
@@ -23,51 +23,51 @@
 // When an upstream is taken for failing and gets no new flows for a while. Open flows
 // stay: it may answer them.
 const (
-	// failedAfter is how long a request goes without a sign of an answer before it
+	// answerTimeout is how long a request goes without a sign of an answer before it
 	// counts as failed: more than an upstream with a full queue takes.
-	failedAfter = time.Second
+	answerTimeout = time.Second
 	// outcomeWindow is the time over which outcomes are counted; two windows count.
 	outcomeWindow = 2 * time.Second
-	// failedLeast is the least number of failures over the zone. Fewer may be lost
+	// minFailures is the least number of failures over the zone. Fewer may be lost
 	// packets or callers that went away.
-	failedLeast = 3
-	// failedShare is the least share of the requests that failed. The users' failing
+	minFailures = 3
+	// minFailureShare is the least share of the requests that failed. The users' failing
 	// upstreams fail two requests in five, or all.
-	failedShare = 0.25
-	// failedTimes is how much larger that share must be than that of the service's other
+	minFailureShare = 0.25
+	// minFailureRatio is how much larger that share must be than that of the service's other
 	// upstreams. Requests whose flow routers move to another balancer seem to fail here;
 	// a rolling restart moves nearly all flows, so it looks alike at all upstreams.
-	failedTimes = 3
-	// ejectFor is how long an upstream is left out at first, doubled at each of the next
+	minFailureRatio = 3
+	// ejectDuration is how long an upstream is left out at first, doubled at each of the next
 	// ejections up to ejectTimes.
-	ejectFor   = 2 * time.Second
-	ejectTimes = 3
-	// ejectShare bounds how many of a service's upstreams in the zone are left out: if
+	ejectDuration = 2 * time.Second
+	maxEjectSteps = 3
+	// maxEjectedShare bounds how many of a service's upstreams in the zone are left out: if
 	// more fail, the trouble isn't theirs, or leaving them out would crowd the rest.
-	ejectShare = 0.25
+	maxEjectedShare = 0.25
 )
 
-// failed notes a request that got no answer.
-func (e *Engine) failed(f *flow) {
-	if f.busy {
-		f.up.outcomes.failed++
-		f.answered()
+// recordFailure notes a request that got no answer.
+func (e *Engine) recordFailure(f *flow) {
+	if f.requestPending {
+		f.upstream.outcomes.failed++
+		f.endRequest()
 	}
 }
 
-// overdue counts requests that wait for too long as failed. It looks at all flows.
-func (e *Engine) overdue(now time.Time) {
+// expireRequests counts requests that wait for too long as failed. It looks at all flows.
+func (e *Engine) expireRequests(now time.Time) {
 	for _, f := range e.flows {
-		if f.busy && now.Sub(f.askedAt) > failedAfter {
+		if f.requestPending && now.Sub(f.requestedAt) > answerTimeout {
 			f.overdue = true
-			e.requestsOf(f.up.Route.Service).Unknown++
-			e.failed(f)
+			e.requestCounts(f.upstream.Route.Service).Unknown++
+			e.recordFailure(f)
 		}
 	}
-	if now.Sub(e.turned) >= outcomeWindow {
-		e.turned = now
+	if now.Sub(e.outcomesRotatedAt) >= outcomeWindow {
+		e.outcomesRotatedAt = now
 		for _, u := range e.upstreams {
-			u.outcomes.turn()
+			u.outcomes.rotate()
 		}
 	}
 }
@@ -84,7 +84,7 @@
 			Answered: o.answered + o.lastAnswered,
 			Failed:   o.failed + o.lastFailed,
 		}
-		if u.listed && !u.shadowed && l.Flows+l.Answered+l.Failed > 0 {
+		if u.registered && !u.shadowed && l.Flows+l.Answered+l.Failed > 0 {
 			out = append(out, l)
 		}
 	}
@@ -101,46 +101,46 @@
 	}
 	var out []bundle.UpstreamID
 	for _, l := range list {
-		u := e.table.byCookie[Cookie(l.Cookie)]
-		if u == nil || !u.listed || now.Before(u.ejected) {
+		u := e.index.byCookie[Cookie(l.Cookie)]
+		if u == nil || !u.registered || now.Before(u.ejectedUntil) {
 			continue
 		}
-		if !fails(l, all[u.Route.Service.Name]) || !e.mayEject(u, now) {
+		if !failsTooOften(l, all[u.Route.Service.Name]) || !e.mayEject(u, now) {
 			continue
 		}
-		u.ejections = min(u.ejections+1, ejectTimes)
-		u.ejected = now.Add(ejectFor << (u.ejections - 1))
+		u.ejections = min(u.ejections+1, maxEjectSteps)
+		u.ejectedUntil = now.Add(ejectDuration << (u.ejections - 1))
 		u.outcomes = outcomes{}
 		out = append(out, u.Route.ID)
 	}
 	return out
 }
 
-// fails reports whether an upstream fails too many requests, for itself and beside the
+// failsTooOften reports whether an upstream failsTooOften too many requests, for itself and beside the
 // others of its service.
-func fails(l peer.Load, all peer.ServiceLoad) bool {
-	share := failedPart(l.Failed, l.Answered)
-	if l.Failed < failedLeast || share < failedShare {
+func failsTooOften(l peer.Load, all peer.ServiceLoad) bool {
+	share := failureShare(l.Failed, l.Answered)
+	if l.Failed < minFailures || share < minFailureShare {
 		return false
 	}
-	others := failedPart(all.Failed-min(all.Failed, l.Failed), all.Answered-min(all.Answered, l.Answered))
-	return share >= failedTimes*others
+	others := failureShare(all.Failed-min(all.Failed, l.Failed), all.Answered-min(all.Answered, l.Answered))
+	return share >= minFailureRatio*others
 }
 
-func failedPart(failed, answered uint32) float64 {
+func failureShare(failed, answered uint32) float64 {
 	return float64(failed) / float64(max(1, failed+answered))
 }
 
 func (e *Engine) mayEject(u *Upstream, now time.Time) bool {
-	all, left := 0, 0
-	for _, o := range e.table.byService[u.Route.Service.Name] {
+	all, ejected := 0, 0
+	for _, o := range e.index.byService[u.Route.Service.Name] {
 		if o.Route.Zone != u.Route.Zone || o.Route.Drain {
 			continue
 		}
 		all++
-		if now.Before(o.ejected) {
-			left++
+		if now.Before(o.ejectedUntil) {
+			ejected++
 		}
 	}
-	return float64(left+1) <= ejectShare*float64(all)
+	return float64(ejected+1) <= maxEjectedShare*float64(all)
 }
--- a/internal/connection/cookie/load.go
+++ b/internal/connection/cookie/load.go
@@ -7,18 +7,18 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// busyness is how many requests are in progress for each flow of a service, as the
+// flowActivity is how many requests are in progress for each flow of a service, as the
 // balancers of the zone see it, smoothed.
-type busyness struct {
-	perFlow float64
+type flowActivity struct {
+	requestsPerFlow float64
 }
 
 const (
-	// busySmoothing is the weight of one sample. Samples come each half second, so
+	// activitySmoothing is the weight of one sample. Samples come each half second, so
 	// about five seconds count; in the first two seconds of a daemon they come sooner.
-	busySmoothing = 0.1
-	// busyLeast is the number of flows below which a sample says too little.
-	busyLeast = 20
+	activitySmoothing = 0.1
+	// minSampleFlows is the number of flows below which a sample says too little.
+	minSampleFlows = 20
 )
 
 // zoneService is a service in a zone.
@@ -29,18 +29,18 @@
 
 // zoneLoad is what is known of a zoneService.
 type zoneLoad struct {
-	perSlot float64
-	at      time.Time
+	flowsPerSlot float64
+	receivedAt   time.Time
 }
 
-// zoneLoadFor is how long the word of another zone counts: two of its periods and the way. A
+// zoneLoadTTL is how long the word of another zone counts: two of its periods and the way. A
 // zone that is cut off is silent, and nothing spills there.
-const zoneLoadFor = 1100 * time.Millisecond
+const zoneLoadTTL = 1100 * time.Millisecond
 
 // ServiceLoads returns what this balancer counts of each service.
 func (e *Engine) ServiceLoads() []peer.ServiceLoad {
 	var out []peer.ServiceLoad
-	for name, list := range e.table.byService {
+	for name, list := range e.index.byService {
 		s := peer.ServiceLoad{Service: name}
 		for _, u := range list {
 			s.Flows += uint32(max(0, u.load.Flows.Load()))
@@ -60,17 +60,17 @@
 // in progress vary by a half from sample to sample.
 func (e *Engine) SampleServiceLoads(list []peer.ServiceLoad) {
 	for _, s := range list {
-		if s.Flows < busyLeast {
+		if s.Flows < minSampleFlows {
 			continue
 		}
-		b := e.busy[s.Service]
-		b.perFlow += busySmoothing * (float64(s.Requests)/float64(s.Flows) - b.perFlow)
-		e.busy[s.Service] = b
+		b := e.activity[s.Service]
+		b.requestsPerFlow += activitySmoothing * (float64(s.Requests)/float64(s.Flows) - b.requestsPerFlow)
+		e.activity[s.Service] = b
 	}
 }
 
 // RequestsPerFlow returns how many requests are in progress for each flow of a service.
-func (e *Engine) RequestsPerFlow(service string) float64 { return e.busy[service].perFlow }
+func (e *Engine) RequestsPerFlow(service string) float64 { return e.activity[service].requestsPerFlow }
 
 // SetZoneLoads takes in the loads of other zones.
 func (e *Engine) SetZoneLoads(list []peer.ZoneLoad, now time.Time) {
@@ -79,38 +79,38 @@
 		if l.Zone == e.opts.Zone || l.Slots == 0 {
 			continue
 		}
-		e.zones[zoneService{zone: l.Zone, service: l.Service}] = zoneLoad{
-			perSlot: float64(l.Flows) / float64(l.Slots), at: now,
+		e.zoneLoads[zoneService{zone: l.Zone, service: l.Service}] = zoneLoad{
+			flowsPerSlot: float64(l.Flows) / float64(l.Slots), receivedAt: now,
 		}
 	}
-	for k, l := range e.zones {
-		if now.Sub(l.at) > zoneLoadFor {
-			delete(e.zones, k)
+	for k, l := range e.zoneLoads {
+		if now.Sub(l.receivedAt) > zoneLoadTTL {
+			delete(e.zoneLoads, k)
 		}
 	}
 }
 
-// zoneFlows returns how many flows the upstream's zone holds for each slot, -1 if
+// zoneFlowsPerSlot returns how many flows the upstream's zone holds for each slot, -1 if
 // that isn't known or the zone may be cut off, 0 for the own zone.
-func (e *Engine) zoneFlows(u *Upstream, now time.Time) float64 {
+func (e *Engine) zoneFlowsPerSlot(u *Upstream, now time.Time) float64 {
 	if u.Route.Zone == e.opts.Zone {
 		return 0
 	}
-	if u.reach.isDoubted(now) {
+	if u.zoneHealth.isSuspect(now) {
 		return -1
 	}
-	l, ok := e.zones[zoneService{zone: u.Route.Zone, service: u.Route.Service.Name}]
+	l, ok := e.zoneLoads[zoneService{zone: u.Route.Zone, service: u.Route.Service.Name}]
 	if !ok {
 		return -1
 	}
-	return l.perSlot
+	return l.flowsPerSlot
 }
 
 // OwnZoneLoads returns the loads of the balancer's own zone: what all its members count
 // at the upstreams that take flows.
 func (e *Engine) OwnZoneLoads() []peer.ZoneLoad {
 	var out []peer.ZoneLoad
-	for name, list := range e.table.byService {
+	for name, list := range e.index.byService {
 		z := peer.ZoneLoad{Zone: e.opts.Zone, Service: name}
 		for _, u := range list {
 			if u.Route.Zone != e.opts.Zone || !u.usable() || e.isEvacuated(u) {
--- a/internal/connection/cookie/open.go
+++ b/internal/connection/cookie/open.go
@@ -7,48 +7,48 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// open decides for a first packet.
-func (e *Engine) open(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
+// decideFirst decides for a first packet.
+func (e *Engine) decideFirst(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
 	f := e.flows[p.Key]
 	if f == nil {
 		return e.place(p, r, now)
 	}
-	if e.isEvacuated(f.up) {
-		return e.openElsewhere(p, f, r, now)
+	if e.isEvacuated(f.upstream) {
+		return e.leaveEvacuatedZone(p, f, r, now)
 	}
 	if f.opened || p.Copy <= f.copies {
 		// A datagram that the network doubled or delayed.
-		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.up}
+		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.upstream}
 	}
 	f.copies = p.Copy
-	f.last = now
+	f.lastPacket = now
 	// An upstream that answers other flows lost a packet of this one. Any other may
 	// be dead or full, and waiting for a second copy would cost 400 ms more. If no upstream is heard, the
 	// trouble may be this host's, and another upstream would be as silent.
-	if f.up.usable() && (now.Sub(f.up.heard) < aliveFor || now.Sub(e.heard) >= aliveFor) {
-		e.unanswered(f.up, now)
-		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.up}
+	if f.upstream.usable() && (now.Sub(f.upstream.lastSeen) < aliveTTL || now.Sub(e.lastSeen) >= aliveTTL) {
+		e.noteUnanswered(f.upstream, now)
+		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.upstream}
 	}
-	e.unanswered(f.up, now)
-	f.up.reach.doubt(now)
+	e.noteUnanswered(f.upstream, now)
+	f.upstream.zoneHealth.suspect(now)
 	return e.placeAgain(p, f, r, now)
 }
 
-// openElsewhere decides for a first packet that comes again after the zone of its upstream was
+// leaveEvacuatedZone decides for a first packet that comes again after the zone of its upstream was
 // evacuated. If the flow is open, the packet is of no use to anybody any more, and could open a
 // second one there.
-func (e *Engine) openElsewhere(p *Packet, f *flow, r *bundle.CallerRoute, now time.Time) Verdict {
+func (e *Engine) leaveEvacuatedZone(p *Packet, f *flow, r *bundle.CallerRoute, now time.Time) Verdict {
 	if f.opened {
 		return Verdict{Cause: CauseEvacuated}
 	}
-	f.copies, f.last = max(f.copies, p.Copy), now
+	f.copies, f.lastPacket = max(f.copies, p.Copy), now
 	v := e.placeAgain(p, f, r, now)
-	if !e.isEvacuated(f.up) {
+	if !e.isEvacuated(f.upstream) {
 		return v
 	}
-	e.forget(p.Key, f)
-	e.requestsOf(f.up.Route.Service).Refused++
-	return refuse(p, CauseEvacuated)
+	e.forgetFlow(p.Key, f)
+	e.requestCounts(f.upstream.Route.Service).Refused++
+	return resetVerdict(p, CauseEvacuated)
 }
 
 // place chooses the upstream of a new flow.
@@ -57,25 +57,25 @@
 	service := r.Pick(h)
 	u := e.choose(r, service, h, nil, now)
 	if u == nil {
-		e.requestsOf(service).Refused++
-		return refuse(p, CauseNoUpstream)
+		e.requestCounts(service).Refused++
+		return resetVerdict(p, CauseNoUpstream)
 	}
-	f := &flow{up: u, copies: p.Copy, placed: now, last: now, ack: p.Ack}
+	f := &flow{upstream: u, copies: p.Copy, placedAt: now, lastPacket: now, ack: p.Ack}
 	e.flows[p.Key] = f
-	u.flows++
-	f.count()
+	u.flowRecords++
+	f.addToLoad()
 	return Verdict{Action: ActionForward, Cause: e.placedCause(u), Upstream: u}
 }
 
 // placeAgain turns to another upstream than those that were silent. If there is
 // no other, the flow stays.
 func (e *Engine) placeAgain(p *Packet, f *flow, r *bundle.CallerRoute, now time.Time) Verdict {
-	not := []*Upstream{f.up, f.before}
+	not := []*Upstream{f.upstream, f.previous}
 	u := e.choose(r, r.Pick(p.Key.hash()), p.Key.hash(), not, now)
 	if u == nil {
-		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.up}
+		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.upstream}
 	}
-	f.before = f.up
+	f.previous = f.upstream
 	f.moveTo(u)
 	return Verdict{Action: ActionForward, Cause: CauseSilent, Upstream: u}
 }
@@ -92,25 +92,25 @@
 func (e *Engine) choose(
 	r *bundle.CallerRoute, s *bundle.ServiceRoute, seed uint64, not []*Upstream, now time.Time,
 ) *Upstream {
-	busy := e.busy[s.Name].perFlow
+	busy := e.activity[s.Name].requestsPerFlow
 	for _, suspected := range [...]bool{false, true} {
 		e.candidates = e.candidates[:0]
-		for _, u := range e.table.byService[s.Name] {
-			if excluded(u, not) || !e.mayEnter(r, u) || !u.eligible(suspected, now) || !e.bearsMore(u, now) {
+		for _, u := range e.index.byService[s.Name] {
+			if excluded(u, not) || !e.mayEnter(r, u) || !u.eligible(suspected, now) || !e.withinWarmupLimit(u, now) {
 				continue
 			}
 			e.candidates = append(e.candidates, upstream.Candidate{
 				Route: u.Route,
 				Load:  u.load,
-				Cold:  now.Before(u.coldUntil),
+				Cold:  now.Before(u.warmingUntil),
 				Busy:  busy,
 
-				ZoneFlows: e.zoneFlows(u, now),
+				ZoneFlows: e.zoneFlowsPerSlot(u, now),
 			})
 		}
 		if chosen := e.opts.Policy.Choose(e.candidates, seed); chosen != nil {
 			u := e.upstreams[chosen.ID]
-			e.sentTo(u, now)
+			e.recordWarmupFlow(u, now)
 			return u
 		}
 	}
@@ -127,9 +127,9 @@
 // it may for want of a better one: where the upstream is doubted or left out.
 func (u *Upstream) eligible(suspected bool, now time.Time) bool {
 	if !suspected {
-		return u.takes(now) && !u.reach.isDoubted(now)
+		return u.acceptsFlows(now) && !u.zoneHealth.isSuspect(now)
 	}
-	return u.readable() && !u.Route.Drain && !u.shadowed && u.health != HealthDead
+	return u.hasUsableRegistration() && !u.Route.Drain && !u.shadowed && u.health != HealthDead
 }
 
 func excluded(u *Upstream, not []*Upstream) bool {
--- a/internal/connection/cookie/packet.go
+++ b/internal/connection/cookie/packet.go
@@ -82,11 +82,11 @@
 	Length int
 }
 
-// opens reports whether the packet asks for a new flow.
-func (p *Packet) opens() bool { return p.Flags.Has(FlagSYN) && !p.Flags.Has(FlagACK|FlagRST) }
+// opensFlow reports whether the packet asks for a new flow.
+func (p *Packet) opensFlow() bool { return p.Flags.Has(FlagSYN) && !p.Flags.Has(FlagACK|FlagRST) }
 
-// span is how many numbers the packet takes up: its data and a FIN.
-func (p *Packet) span() uint32 {
+// seqSpan is how many numbers the packet takes up: its data and a FIN.
+func (p *Packet) seqSpan() uint32 {
 	n := uint32(p.Length)
 	if p.Flags.Has(FlagFIN) {
 		n++
@@ -94,8 +94,8 @@
 	return n
 }
 
-// after reports whether a comes after b among numbers that wrap.
-func after(a, b uint32) bool { return int32(a-b) > 0 }
+// seqAfter reports whether a comes seqAfter b among numbers that wrap.
+func seqAfter(a, b uint32) bool { return int32(a-b) > 0 }
 
 // ErrMalformed is returned for bytes that are no packet.
 var ErrMalformed = eris.New("cookie: malformed packet")
--- a/internal/connection/cookie/report.go
+++ b/internal/connection/cookie/report.go
@@ -8,8 +8,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// zoneMember is the member under which LoadTable keeps what the rest of the zone counts.
-const zoneMember upstream.MemberID = 1
+// zoneSumMember is the member under which LoadTable keeps what the rest of the zone counts.
+const zoneSumMember upstream.MemberID = 1
 
 // Report returns what this balancer counts, for the sum of its zone.
 func (e *Engine) Report(self peer.ID) *peer.Report {
@@ -42,7 +42,7 @@
 	e.SampleServiceLoads(r.Services)
 	ejected := e.EjectFailing(r.Loads, r.Services, now)
 	e.LoadTable.Keep(nil)
-	e.LoadTable.Heard(zoneMember, ids, flows)
+	e.LoadTable.Heard(zoneSumMember, ids, flows)
 	for _, id := range r.Dead {
 		e.ReportedDead(id, now)
 	}
--- a/internal/connection/cookie/requests.go
+++ b/internal/connection/cookie/requests.go
@@ -22,7 +22,7 @@
 // Requests returns the counts by service. The caller must not change them.
 func (e *Engine) Requests() map[string]*Requests { return e.requests }
 
-func (e *Engine) requestsOf(s *bundle.ServiceRoute) *Requests {
+func (e *Engine) requestCounts(s *bundle.ServiceRoute) *Requests {
 	r := e.requests[s.Name]
 	if r == nil {
 		r = &Requests{}
@@ -31,10 +31,10 @@
 	return r
 }
 
-// ended counts a request whose answer a caller has acknowledged.
-func (e *Engine) ended(f *flow, r *bundle.CallerRoute, now time.Time) {
-	took := now.Sub(f.askedAt)
-	counts := e.requestsOf(f.up.Route.Service)
+// countAnswered counts a request whose answer a caller has acknowledged.
+func (e *Engine) countAnswered(f *flow, r *bundle.CallerRoute, now time.Time) {
+	took := now.Sub(f.requestedAt)
+	counts := e.requestCounts(f.upstream.Route.Service)
 	if f.overdue {
 		counts.Unknown--
 	}
@@ -44,13 +44,13 @@
 		counts.InTime++
 	}
 	f.overdue = false
-	e.tookUsually(f.up.Route.Service.Name, took)
+	e.updateTypicalLatency(f.upstream.Route.Service.Name, took)
 	e.opts.OnAnswered(took)
 }
 
-// lost counts a request in progress whose flow ends.
-func (e *Engine) lost(f *flow) {
-	if f.busy {
-		e.requestsOf(f.up.Route.Service).Failed++
+// countFailed counts a request in progress whose flow ends.
+func (e *Engine) countFailed(f *flow) {
+	if f.requestPending {
+		e.requestCounts(f.upstream.Route.Service).Failed++
 	}
 }
--- a/internal/connection/cookie/restart_test.go
+++ b/internal/connection/cookie/restart_test.go
@@ -56,12 +56,12 @@
 		u := c.open(e, start)
 		steady(e, start, start.Add(time.Minute))
 		now := start.Add(time.Minute + time.Second)
-		resets := update(e, again(u.Entry()), now)
+		resets := update(e, again(u.Registration()), now)
 		Expect(resets).To(Equal([]cookie.Reset{
 			{Key: c.key, Seq: c.ack, Cause: cookie.CauseRestarted, Upstream: resets[0].Upstream},
 		}))
 		Expect(resets[0].Upstream.ID).To(Equal(u.Route.ID))
-		Expect(update(e, again(u.Entry()), now)).To(BeEmpty(), "heard twice")
+		Expect(update(e, again(u.Registration()), now)).To(BeEmpty(), "heard twice")
 		Expect(e.Flows()).To(BeZero())
 	})
 
@@ -73,7 +73,7 @@
 		c := newCaller(1, feedAt)
 		u := c.open(e, start.Add(time.Minute-time.Second))
 		now := start.Add(time.Minute + time.Second)
-		Expect(update(e, again(u.Entry()), now)).To(BeEmpty())
+		Expect(update(e, again(u.Registration()), now)).To(BeEmpty())
 		Expect(id(e.Decide(c.request(5), now))).To(Equal(u.Route.ID), "it resets the flow itself if it doesn't hold it")
 	})
 
@@ -88,7 +88,7 @@
 		taken.open(e, start.Add(12*time.Second))
 		steady(e, start.Add(20*time.Second), start.Add(21*time.Second))
 		now := start.Add(21500 * ms)
-		resets := update(e, again(u.Entry()), now)
+		resets := update(e, again(u.Registration()), now)
 		Expect(resets).To(HaveLen(1))
 		Expect(resets[0].Key).To(Equal(old.key), "this one is surely of the former incarnation")
 		Expect(id(e.Decide(taken.request(5), now))).To(Equal(u.Route.ID))
@@ -101,7 +101,7 @@
 		steady(e, start, start.Add(20*time.Second))
 		old, taken := newCaller(1, feedAt), newCaller(2, feedAt)
 		u := old.open(e, start.Add(time.Second))
-		entry := u.Entry()
+		entry := u.Registration()
 		taken.open(e, start.Add(21*time.Second))
 		lapsed := start.Add(20*time.Second + 3600*ms)
 		Expect(setUpstreams(e, nil, lapsed)).To(BeEmpty())
@@ -119,7 +119,7 @@
 		u := c.open(e, start)
 		now := start.Add(time.Minute)
 		steady(e, start, now)
-		r := u.Entry()
+		r := u.Registration()
 		r.Revision += 1000
 		change(&r)
 		Expect(update(e, r, now)).To(BeEmpty())
@@ -140,7 +140,7 @@
 		Expect(e.DueProbes(now)).To(HaveLen(1))
 		e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)
 		Expect(e.Decide(newCaller(2, feedAt).first(0), now).Action).To(Equal(cookie.ActionReset))
-		update(e, again(u.Entry()), now)
+		update(e, again(u.Registration()), now)
 		Expect(id(e.Decide(newCaller(3, feedAt).first(0), now))).To(Equal(u.Route.ID))
 	})
 
@@ -168,7 +168,7 @@
 		e.ReportedDead(u.Route.ID, sent)
 		Expect(e.DueProbes(sent)).To(HaveLen(1))
 		now := sent.Add(10 * ms)
-		update(e, again(u.Entry()), now)
+		update(e, again(u.Registration()), now)
 		c := newCaller(2, feedAt)
 		c.open(e, now.Add(ms))
 		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeRefused, sent, now.Add(20*ms))).To(BeEmpty())
@@ -234,7 +234,7 @@
 				break
 			}
 		}
-		moved := again(u.Entry())
+		moved := again(u.Registration())
 		moved.Service = "sheets"
 		now := start.Add(100 * ms)
 		resets := update(e, moved, now)
@@ -252,7 +252,7 @@
 		e := newEngine(bornRegistrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		moved := again(u.Entry())
+		moved := again(u.Registration())
 		moved.Address, moved.Zone = netip.MustParseAddrPort("10.9.9.9:81"), otherZone
 		update(e, moved, start)
 		v := e.Decide(newCaller(2, feedAt).first(0), start)
@@ -277,7 +277,7 @@
 		e := newEngine(bornRegistrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		entry := u.Entry()
+		entry := u.Registration()
 		steady(e, start, start.Add(time.Minute))
 		now := start.Add(time.Minute)
 		Expect(setUpstreams(e, nil, now)).To(BeEmpty())
@@ -298,12 +298,12 @@
 		e := newEngine(list)
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		Expect(update(e, unreadable(u.Entry()), start)).To(BeEmpty())
+		Expect(update(e, unreadable(u.Registration()), start)).To(BeEmpty())
 		for n := range 20 {
 			Expect(id(e.Decide(newCaller(10+n, feedAt).first(0), start))).NotTo(Equal(u.Route.ID))
 		}
 		Expect(id(e.Decide(c.request(5), start))).To(Equal(u.Route.ID))
-		back := u.Entry()
+		back := u.Registration()
 		back.Revision, back.Unusable = back.Revision+2, false
 		update(e, back, start)
 		gets := false
@@ -344,7 +344,7 @@
 		e := newEngine(bornRegistrations(2))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		r := again(u.Entry())
+		r := again(u.Registration())
 		r.Service, r.Address = "backup", netip.MustParseAddrPort("10.9.9.9:81")
 		Expect(update(e, r, start)).To(BeEmpty())
 		v := e.Decide(c.request(5), start)
--- a/internal/connection/cookie/silence.go
+++ b/internal/connection/cookie/silence.go
@@ -8,77 +8,77 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// reach is what this balancer saw of its way to a zone, its own among them.
-type reach struct {
-	// heard is when an upstream there last showed a sign of life, doubted until when the
+// zoneHealth is what this balancer saw of its way to a zone, its own among them.
+type zoneHealth struct {
+	// lastSeen is when an upstream there last showed a sign of life, suspectUntil until when the
 	// zone may be cut off or have lost its upstreams.
-	heard, doubted time.Time
-	// lost is when several of its upstreams were found dead together, zero if one was heard since.
-	lost time.Time
+	lastSeen, suspectUntil time.Time
+	// lostAt is when several of its upstreams were found dead together, zero if one was heard since.
+	lostAt time.Time
 }
 
 const (
-	// zoneDoubtFor is how long no new flow goes to a zone that may be cut off: as long as the
+	// zoneSuspectTTL is how long no new flow goes to a zone that may be cut off: as long as the
 	// word that it had room may still come from members that heard it before.
-	zoneDoubtFor = 2 * time.Second
-	// silentTogether is how many upstreams of a zone must leave a connection unaccepted at once for it to count as
+	zoneSuspectTTL = 2 * time.Second
+	// minSilentTogether is how many upstreams of a zone must leave a connection unaccepted at once for it to count as
 	// lost at the first attempt. One or two may be busy, or a packet of each may be lost.
-	silentTogether = 3
-	// maxLeftOpen is how many connections in a row an upstream leaves open until it is dead. Each lasts a quarter
+	minSilentTogether = 3
+	// maxUnaccepted is how many connections in a row an upstream leaves open until it is dead. Each lasts a quarter
 	// of the time-out, and another upstream accepts one that begins after it.
-	maxLeftOpen = 2
+	maxUnaccepted = 2
 )
 
-// reachOf returns what is known of the way to a zone.
-func (e *Engine) reachOf(z bundle.Zone) *reach {
-	r := e.reaches[z]
+// zoneHealthOf returns what is known of the way to a zone.
+func (e *Engine) zoneHealthOf(z bundle.Zone) *zoneHealth {
+	r := e.zoneHealth[z]
 	if r == nil {
-		r = &reach{}
-		e.reaches[z] = r
+		r = &zoneHealth{}
+		e.zoneHealth[z] = r
 	}
 	return r
 }
 
-// doubt notes that a first packet to the zone went unanswered. If nothing was heard from there meanwhile, the zone may
+// suspect notes that a first packet to the zone went unanswered. If nothing was heard from there meanwhile, the zone may
 // be cut off or have lost its upstreams. Reports of another zone say so only seconds later, the list of the own
 // one too, and a flow that is placed there waits 200 ms for its copy.
-func (r *reach) doubt(now time.Time) {
-	if now.Sub(r.heard) >= aliveFor {
-		r.doubted = now.Add(zoneDoubtFor)
+func (r *zoneHealth) suspect(now time.Time) {
+	if now.Sub(r.lastSeen) >= aliveTTL {
+		r.suspectUntil = now.Add(zoneSuspectTTL)
 	}
 }
 
-// isDoubted reports whether the zone may be cut off or have lost its upstreams.
-func (r *reach) isDoubted(now time.Time) bool { return now.Before(r.doubted) }
+// isSuspect reports whether the zone may be cut off or have lost its upstreams.
+func (r *zoneHealth) isSuspect(now time.Time) bool { return now.Before(r.suspectUntil) }
 
-// hear notes a sign of life from the zone.
-func (r *reach) hear(now time.Time) { *r = reach{heard: now} }
+// markSeen notes a sign of life from the zone.
+func (r *zoneHealth) markSeen(now time.Time) { *r = zoneHealth{lastSeen: now} }
 
-// unanswered notes that a caller repeated a packet that went to an upstream. It says nothing while no upstream at all is
+// noteUnanswered notes that a caller repeated a packet that went to an upstream. It says nothing while no upstream at all is
 // heard: then this host may be slow or cut off, or its link full. It may also be that its flows are all in a zone whose
 // upstreams fell silent together; an upstream of another zone shows which it is.
-func (e *Engine) unanswered(u *Upstream, now time.Time) {
+func (e *Engine) noteUnanswered(u *Upstream, now time.Time) {
 	if u.health != HealthGood || !u.silent(now) {
 		return
 	}
-	if now.Sub(e.heard) < aliveFor {
-		u.doubt(now)
+	if now.Sub(e.lastSeen) < aliveTTL {
+		u.suspect(now)
 		return
 	}
-	if len(e.unsure) < silentTogether && !slices.Contains(e.unsure, u) {
-		e.unsure = append(e.unsure, u)
+	if len(e.pendingSuspects) < minSilentTogether && !slices.Contains(e.pendingSuspects, u) {
+		e.pendingSuspects = append(e.pendingSuspects, u)
 	}
 }
 
-// check returns an upstream of another zone that is to show whether this host reaches anybody, if that is in
+// dueCheck returns an upstream of another zone that is to show whether this host reaches anybody, if that is in
 // question now.
-func (e *Engine) check(now time.Time) (Probe, bool) {
-	if len(e.unsure) == 0 || now.Before(e.nextCheck) {
+func (e *Engine) dueCheck(now time.Time) (Probe, bool) {
+	if len(e.pendingSuspects) == 0 || now.Before(e.nextCheck) {
 		return Probe{}, false
 	}
-	e.nextCheck = now.Add(unsurePause)
-	r := e.reference(e.unsure[0], now)
-	if r == nil || r.Zone == e.unsure[0].Route.Zone {
+	e.nextCheck = now.Add(inconclusiveRetry)
+	r := e.chooseReference(e.pendingSuspects[0], now)
+	if r == nil || r.Zone == e.pendingSuspects[0].Route.Zone {
 		return Probe{}, false
 	}
 	return Probe{Upstream: r, Check: true}, true
@@ -87,16 +87,16 @@
 // CheckDone takes in whether the upstream of a Probe that was a check accepted a connection quickly. If it did, the host
 // is well, and those that left packets unanswered are doubted.
 func (e *Engine) CheckDone(accepted bool, now time.Time) {
-	list := e.unsure
-	e.unsure = nil
+	list := e.pendingSuspects
+	e.pendingSuspects = nil
 	if !accepted {
 		return
 	}
-	e.heard = now
+	e.lastSeen = now
 	for _, u := range list {
 		if u.health == HealthGood && u.silent(now) {
-			u.doubt(now)
-			u.reach.doubt(now)
+			u.suspect(now)
+			u.zoneHealth.suspect(now)
 		}
 	}
 }
@@ -116,92 +116,92 @@
 // drains closes its port before it ends its flows.
 func (e *Engine) ProbePending(id bundle.UpstreamID, sent, now time.Time) ([]bundle.UpstreamID, []Reset) {
 	u := e.upstreams[id]
-	if u == nil || sent.Before(u.since) || u.health == HealthDead || u.heard.After(sent) {
+	if u == nil || sent.Before(u.incarnationSeen) || u.health == HealthDead || u.lastSeen.After(sent) {
 		return nil, nil
 	}
-	u.leftOpen++
-	if !u.listed {
+	u.unaccepted++
+	if !u.registered {
 		return nil, nil
 	}
-	silent := e.silentWith(u, sent, now)
+	silent := e.deadAfterUnaccepted(u, sent, now)
 	dead := make(map[*Upstream]bool, len(silent))
 	found := make([]bundle.UpstreamID, 0, len(silent))
 	for _, s := range silent {
 		found = append(found, s.Route.ID)
 		s.health = HealthDead
-		s.nextProbe = now.Add(reprobeAfter)
+		s.nextProbe = now.Add(reprobeInterval)
 		dead[s] = true
 	}
 	if len(found) > 1 {
-		u.reach.doubt(now)
-		e.doubtOthers(u.reach, now)
+		u.zoneHealth.suspect(now)
+		e.suspectOthers(u.zoneHealth, now)
 	}
-	return found, e.endAt(dead)
+	return found, e.endFlowsAt(dead)
 }
 
-// silentWith returns which upstreams are dead now that u has left a connection open: all of its zone that did, if the
+// deadAfterUnaccepted returns which upstreams are dead now that u has left a connection open: all of its zone that did, if the
 // zone is lost, or u alone if it left two.
-func (e *Engine) silentWith(u *Upstream, sent, now time.Time) []*Upstream {
-	if !u.reach.heard.After(sent) {
-		silent := e.unacceptedIn(u.reach)
-		if len(silent) >= silentTogether || now.Sub(u.reach.lost) <= zoneDoubtFor {
-			u.reach.lost = now
+func (e *Engine) deadAfterUnaccepted(u *Upstream, sent, now time.Time) []*Upstream {
+	if !u.zoneHealth.lastSeen.After(sent) {
+		silent := e.unacceptedInZone(u.zoneHealth)
+		if len(silent) >= minSilentTogether || now.Sub(u.zoneHealth.lostAt) <= zoneSuspectTTL {
+			u.zoneHealth.lostAt = now
 			return silent
 		}
 	}
-	if u.leftOpen >= maxLeftOpen && !u.Route.Drain {
+	if u.unaccepted >= maxUnaccepted && !u.Route.Drain {
 		return []*Upstream{u}
 	}
 	return nil
 }
 
-// unacceptedIn returns the doubted upstreams of a zone that left a probe open.
-func (e *Engine) unacceptedIn(r *reach) []*Upstream {
+// unacceptedInZone returns the doubted upstreams of a zone that left a probe open.
+func (e *Engine) unacceptedInZone(r *zoneHealth) []*Upstream {
 	var out []*Upstream
 	for _, u := range e.upstreams {
-		if u.reach == r && u.listed && u.health == HealthSuspect && u.leftOpen > 0 {
+		if u.zoneHealth == r && u.registered && u.health == HealthSuspect && u.unaccepted > 0 {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// doubtOthers asks for a probe of each upstream of a zone that callers have flows at.
-func (e *Engine) doubtOthers(r *reach, now time.Time) {
+// suspectOthers asks for a probe of each upstream of a zone that callers have flows at.
+func (e *Engine) suspectOthers(r *zoneHealth, now time.Time) {
 	for _, u := range e.upstreams {
-		if u.reach == r && u.listed && u.flows > 0 && u.health == HealthGood {
-			u.doubt(now)
+		if u.zoneHealth == r && u.registered && u.flowRecords > 0 && u.health == HealthGood {
+			u.suspect(now)
 		}
 	}
 }
 
-// endAt ends the flows of upstreams that were found dead.
-func (e *Engine) endAt(dead map[*Upstream]bool) []Reset {
+// endFlowsAt ends the flows of upstreams that were found dead.
+func (e *Engine) endFlowsAt(dead map[*Upstream]bool) []Reset {
 	var out []Reset
 	for k, f := range e.flows {
-		if dead[f.up] {
-			out = append(out, e.end(k, f, deadCause(f.up)))
+		if dead[f.upstream] {
+			out = append(out, e.endFlow(k, f, deadCause(f.upstream)))
 		}
 	}
 	return out
 }
 
-// reference returns the upstream that shows whether a probe of u that goes unanswered is this host's trouble: the one
+// chooseReference returns the upstream that shows whether a probe of u that goes unanswered is this host's trouble: the one
 // that was heard last. If nobody of u's zone was heard lately, it is one of another zone, since the
 // whole zone may be silent; among those that weren't heard either, u and the time draw one.
-func (e *Engine) reference(not *Upstream, now time.Time) *bundle.UpstreamRoute {
-	silentZone := now.Sub(not.reach.heard) >= aliveFor
+func (e *Engine) chooseReference(not *Upstream, now time.Time) *bundle.UpstreamRoute {
+	silentZone := now.Sub(not.zoneHealth.lastSeen) >= aliveTTL
 	var best *Upstream
 	var bestDraw uint64
 	for _, u := range e.upstreams {
-		if u == not || !u.listed || u.health != HealthGood || e.isEvacuated(u) {
+		if u == not || !u.registered || u.health != HealthGood || e.isEvacuated(u) {
 			continue
 		}
-		if silentZone && u.reach == not.reach {
+		if silentZone && u.zoneHealth == not.zoneHealth {
 			continue
 		}
 		draw := peer.Mix(uint64(u.Route.ID) ^ uint64(not.Route.ID) ^ uint64(now.UnixNano()))
-		if best == nil || u.heard.After(best.heard) || u.heard.Equal(best.heard) && draw > bestDraw {
+		if best == nil || u.lastSeen.After(best.lastSeen) || u.lastSeen.Equal(best.lastSeen) && draw > bestDraw {
 			best, bestDraw = u, draw
 		}
 	}
--- a/internal/connection/cookie/table.go
+++ b/internal/connection/cookie/table.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// table finds upstreams by their cookies and by their services. It is kept up by changes,
+// upstreamIndex finds upstreams by their cookies and by their services. It is kept up by changes,
 // never made anew.
-type table struct {
+type upstreamIndex struct {
 	// byCookie holds the upstream that a cookie names, shadowed those that have the same
 	// cookie and registered later.
 	byCookie map[Cookie]*Upstream
@@ -13,18 +13,18 @@
 	byService map[string][]*Upstream
 }
 
-func newTable() table {
-	return table{
+func newUpstreamIndex() upstreamIndex {
+	return upstreamIndex{
 		byCookie:  make(map[Cookie]*Upstream),
 		shadowed:  make(map[Cookie][]*Upstream),
 		byService: make(map[string][]*Upstream),
 	}
 }
 
-// nameCookie lets an upstream's cookie name it, whether it is listed or went lately. An
+// assignCookie lets an upstream's cookie name it, whether it is listed or went lately. An
 // upstream that registered earlier keeps its cookie if another one has the same: nobody
 // else can have given it to a flow. The later one gets no flow for as long.
-func (t *table) nameCookie(u *Upstream) {
+func (t *upstreamIndex) assignCookie(u *Upstream) {
 	first := t.byCookie[u.Cookie]
 	switch {
 	case first == nil || first == u:
@@ -37,14 +37,14 @@
 	}
 }
 
-func (t *table) shadow(u *Upstream) {
+func (t *upstreamIndex) shadow(u *Upstream) {
 	u.shadowed = true
 	t.shadowed[u.Cookie] = append(t.shadowed[u.Cookie], u)
 }
 
-// forgetCookie lets an upstream's cookie no longer name it. The oldest of those that it
+// releaseCookie lets an upstream's cookie no longer name it. The oldest of those that it
 // shadowed takes its place.
-func (t *table) forgetCookie(u *Upstream) {
+func (t *upstreamIndex) releaseCookie(u *Upstream) {
 	others := slices.DeleteFunc(t.shadowed[u.Cookie], func(o *Upstream) bool { return o == u })
 	if t.byCookie[u.Cookie] == u {
 		delete(t.byCookie, u.Cookie)
@@ -61,19 +61,19 @@
 	}
 }
 
-// add puts a listed upstream among those of its service.
-func (t *table) add(u *Upstream) {
+// addToService puts a listed upstream among those of its service.
+func (t *upstreamIndex) addToService(u *Upstream) {
 	name := u.Route.Service.Name
-	u.place = len(t.byService[name])
+	u.serviceIndex = len(t.byService[name])
 	t.byService[name] = append(t.byService[name], u)
 }
 
-// remove takes an upstream off those of its service; the last one gets its place.
-func (t *table) remove(u *Upstream) {
+// removeFromService takes an upstream off those of its service; the last one gets its place.
+func (t *upstreamIndex) removeFromService(u *Upstream) {
 	name := u.Route.Service.Name
 	list := t.byService[name]
 	last := list[len(list)-1]
-	list[u.place], last.place = last, u.place
+	list[u.serviceIndex], last.serviceIndex = last, u.serviceIndex
 	list[len(list)-1] = nil
 	if list = list[:len(list)-1]; len(list) > 0 {
 		t.byService[name] = list
--- a/internal/connection/cookie/warmup.go
+++ b/internal/connection/cookie/warmup.go
@@ -12,39 +12,39 @@
 	Share(id bundle.UpstreamID, rate float64) int
 }
 
-// warmupSpan is the time in which flows to a slow upstream are counted, wherever it begins.
-const warmupSpan = time.Second
+// warmupWindow is the time in which flows to a slow upstream are counted, wherever it begins.
+const warmupWindow = time.Second
 
-// pace is when flows were sent to an upstream while it was slow, oldest first.
-type pace struct{ sent []time.Time }
+// sendTimes is when flows were sent to an upstream while it was slow, oldest first.
+type sendTimes struct{ sent []time.Time }
 
 // allows reports whether one more may be sent with at most n in any warmupSpan.
-func (p *pace) allows(n int, now time.Time) bool {
-	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= warmupSpan {
+func (p *sendTimes) allows(n int, now time.Time) bool {
+	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= warmupWindow {
 		p.sent = p.sent[1:]
 	}
 	return len(p.sent) < n
 }
 
-func (p *pace) note(now time.Time) { p.sent = append(p.sent, now) }
+func (p *sendTimes) add(now time.Time) { p.sent = append(p.sent, now) }
 
-// bearsMore reports whether an upstream may get a new flow from this balancer, as far as it is slow after its start:
+// withinWarmupLimit reports whether an upstream may get a new flow from this balancer, as far as it is slow after its start:
 // one that gets more than it bears then answers nobody in time, and loses the callers that it was
 // given back.
-func (e *Engine) bearsMore(u *Upstream, now time.Time) bool {
+func (e *Engine) withinWarmupLimit(u *Upstream, now time.Time) bool {
 	rate := u.Route.Service.WarmupRate
-	if rate <= 0 || !now.Before(u.coldUntil) {
+	if rate <= 0 || !now.Before(u.warmingUntil) {
 		return true
 	}
 	if e.opts.WarmupLimiter == nil {
 		return false
 	}
-	return u.pace.allows(e.opts.WarmupLimiter.Share(u.Route.ID, rate), now)
+	return u.warmupSends.allows(e.opts.WarmupLimiter.Share(u.Route.ID, rate), now)
 }
 
-// sentTo notes that a new flow was placed at an upstream.
-func (e *Engine) sentTo(u *Upstream, now time.Time) {
-	if u.Route.Service.WarmupRate > 0 && now.Before(u.coldUntil) {
-		u.pace.note(now)
+// recordWarmupFlow notes that a new flow was placed at an upstream.
+func (e *Engine) recordWarmupFlow(u *Upstream, now time.Time) {
+	if u.Route.Service.WarmupRate > 0 && now.Before(u.warmingUntil) {
+		u.warmupSends.add(now)
 	}
 }
--- a/internal/connection/cookie/watch.go
+++ b/internal/connection/cookie/watch.go
@@ -40,11 +40,11 @@
 // today hold about 2,000 connections each.
 const defaultConnections = 2000
 
-// alive notes a sign of life of an upstream.
-func (e *Engine) alive(u *Upstream, now time.Time) {
-	e.heard, e.unsure = now, nil
-	u.reach.hear(now)
-	u.alive(now)
+// markAlive notes a sign of life of an upstream.
+func (e *Engine) markAlive(u *Upstream, now time.Time) {
+	e.lastSeen, e.pendingSuspects = now, nil
+	u.zoneHealth.markSeen(now)
+	u.markAlive(now)
 }
 
 // Probe is a request to look whether an upstream lives.
@@ -70,8 +70,8 @@
 // Upstreams returns the listed upstreams, in the order of their services.
 func (e *Engine) Upstreams() []UpstreamLoad {
 	var out []UpstreamLoad
-	for _, name := range slices.Sorted(maps.Keys(e.table.byService)) {
-		for _, u := range e.table.byService[name] {
+	for _, name := range slices.Sorted(maps.Keys(e.index.byService)) {
+		for _, u := range e.index.byService[name] {
 			out = append(out, UpstreamLoad{Route: u.Route, Load: u.load})
 		}
 	}
@@ -81,19 +81,19 @@
 // DueProbes returns the upstreams that are to be probed now. Each must be
 // answered by Probed, a check by Checked.
 func (e *Engine) DueProbes(now time.Time) []Probe {
-	e.doubtWaiting(now)
+	e.suspectWaiting(now)
 	var out []Probe
-	if check, ok := e.check(now); ok {
+	if check, ok := e.dueCheck(now); ok {
 		out = append(out, check)
 	}
 	for _, u := range e.upstreams {
-		if u.flows == 0 && e.isEvacuated(u) {
+		if u.flowRecords == 0 && e.isEvacuated(u) {
 			continue // Nobody waits for what it would find, and nothing is to be sent there.
 		}
 		if u.probeDue(now) {
-			u.probes++
+			u.probesInFlight++
 			u.lastProbe = now
-			out = append(out, Probe{Upstream: u.Route, Registered: u.listed, Reference: e.reference(u, now)})
+			out = append(out, Probe{Upstream: u.Route, Registered: u.registered, Reference: e.chooseReference(u, now)})
 		}
 	}
 	return out
@@ -111,16 +111,16 @@
 func (e *Engine) ProbeDone(id bundle.UpstreamID, r ProbeResult, sent, now time.Time) []Reset {
 	u := e.upstreams[id]
 	// A probe that was sent to the former incarnation says nothing of the present one.
-	if u == nil || sent.Before(u.since) {
+	if u == nil || sent.Before(u.incarnationSeen) {
 		return nil
 	}
 	if r == ProbeAlive {
-		u.reach.hear(now)
+		u.zoneHealth.markSeen(now)
 	}
-	if !u.probed(r, sent, now) {
+	if !u.applyProbe(r, sent, now) {
 		return nil
 	}
-	return e.endAt(map[*Upstream]bool{u: true})
+	return e.endFlowsAt(map[*Upstream]bool{u: true})
 }
 
 // ReportedDead notes that another balancer found an upstream dead. It is looked at, not
@@ -128,14 +128,14 @@
 // itself; where each sees few flows, most of a crashed upstream's callers are told in time by hints alone.
 func (e *Engine) ReportedDead(id bundle.UpstreamID, now time.Time) {
 	u := e.upstreams[id]
-	if u != nil && u.listed && u.health == HealthGood && now.Sub(u.checked) >= checkedFor {
-		u.doubt(now)
+	if u != nil && u.registered && u.health == HealthGood && now.Sub(u.probeAnswered) >= probeAnswerTTL {
+		u.suspect(now)
 	}
 }
 
 // UpstreamByCookie returns the upstream that a cookie names, and whether there is one.
 func (e *Engine) UpstreamByCookie(c Cookie) (bundle.UpstreamID, bool) {
-	u := e.table.byCookie[c]
+	u := e.index.byCookie[c]
 	if u == nil {
 		return 0, false
 	}
@@ -154,7 +154,7 @@
 func (e *Engine) DeadUpstreams() []bundle.UpstreamID {
 	var out []bundle.UpstreamID
 	for id, u := range e.upstreams {
-		if u.listed && u.health == HealthDead {
+		if u.registered && u.health == HealthDead {
 			out = append(out, id)
 		}
 	}
@@ -165,7 +165,7 @@
 func (e *Engine) DeregisteredDead() []peer.GoneUpstream {
 	var out []peer.GoneUpstream
 	for id, u := range e.upstreams {
-		if !u.listed && u.health == HealthDead {
+		if !u.registered && u.health == HealthDead {
 			out = append(out, peer.GoneUpstream{ID: id, Address: u.Route.Address})
 		}
 	}
@@ -177,20 +177,20 @@
 func (e *Engine) LearnDeregisteredDead(list []peer.GoneUpstream, now time.Time) {
 	for _, g := range list {
 		if e.upstreams[g.ID] == nil && g.Address.IsValid() {
-			e.unlisted(g.ID, g.Address, now).health = HealthSuspect
+			e.addDeregistered(g.ID, g.Address, now).health = HealthSuspect
 		}
 	}
 }
 
-// unlisted adds an upstream that takes no flow and whose cookie is known: no packet that
+// addDeregistered adds an upstream that takes no flow and whose cookie is known: no packet that
 // names it is taken for one of an upstream that nobody knows.
-func (e *Engine) unlisted(id bundle.UpstreamID, at netip.AddrPort, now time.Time) *Upstream {
+func (e *Engine) addDeregistered(id bundle.UpstreamID, at netip.AddrPort, now time.Time) *Upstream {
 	u := &Upstream{
-		Cookie: Of(id), load: e.LoadTable.Load(id), goneAt: now, reach: e.reachOf(""),
+		Cookie: Of(id), load: e.LoadTable.Load(id), deregisteredAt: now, zoneHealth: e.zoneHealthOf(""),
 		Route: &bundle.UpstreamRoute{ID: id, Address: at, Service: &bundle.ServiceRoute{}},
 	}
 	e.upstreams[id] = u
-	e.table.nameCookie(u)
+	e.index.assignCookie(u)
 	return u
 }
 
@@ -198,40 +198,40 @@
 // meanwhile says nothing of upstreams, so all get time to be heard of again.
 func (e *Engine) Paused(now time.Time) {
 	for _, u := range e.upstreams {
-		u.heard = now
+		u.lastSeen = now
 	}
 }
 
 // Expire forgets flows without packets and upstreams that went long ago. It is
 // called about once a second.
 func (e *Engine) Expire(now time.Time) {
-	e.overdue(now)
+	e.expireRequests(now)
 	for k, f := range e.flows {
-		age := now.Sub(f.last)
-		if age > quietAfter {
-			f.uncount()
+		age := now.Sub(f.lastPacket)
+		if age > loadTimeout {
+			f.removeFromLoad()
 		}
-		if age > f.lifetime(e.idle(f)) {
-			e.forget(k, f)
+		if age > f.lifetime(e.idleTimeout(f)) {
+			e.forgetFlow(k, f)
 		}
 	}
-	for c, first := range e.unknown {
+	for c, first := range e.unknownCookies {
 		if now.Sub(first) > e.opts.FlowLifetime {
-			delete(e.unknown, c)
+			delete(e.unknownCookies, c)
 		}
 	}
 	for id, u := range e.upstreams {
-		if !u.listed && u.flows == 0 && now.Sub(u.goneAt) > e.opts.FlowLifetime {
+		if !u.registered && u.flowRecords == 0 && now.Sub(u.deregisteredAt) > e.opts.FlowLifetime {
 			delete(e.upstreams, id)
-			e.table.forgetCookie(u)
+			e.index.releaseCookie(u)
 			e.LoadTable.Forget(id)
 		}
 	}
 }
 
-func (e *Engine) idle(f *flow) time.Duration {
-	if d := f.up.Route.Service.IdleTimeout; d > 0 {
+func (e *Engine) idleTimeout(f *flow) time.Duration {
+	if d := f.upstream.Route.Service.IdleTimeout; d > 0 {
 		return d
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
