--- a/internal/connection/caller/cluster_test.go
+++ b/internal/connection/caller/cluster_test.go
@@ -32,13 +32,13 @@
 	clusterT0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// run is a request that reached an upstream.
+// run is one request that reached an upstream.
 type run struct {
 	upstream string
 	body     string
 }
 
-// node is one engine with what others know of it.
+// node is one engine with its member entry in the views of the others.
 type node struct {
 	member peer.Member
 	engine *caller.Engine
@@ -48,8 +48,8 @@
 	fresh  bool
 }
 
-// cluster connects engines by links in memory. Views change only when told to,
-// so a test decides who knows what and when.
+// cluster connects engines by simulated links. Views change only by explicit calls, so
+// a test decides what each node knows at what time.
 type cluster struct {
 	now     time.Time
 	key     *geneve.Key
@@ -58,18 +58,19 @@
 	routing *bundle.Routing
 	// drop says which packets between nodes are lost.
 	drop func(from, to *node) bool
-	// apart says which zones don't reach each other.
-	apart func(a, b bundle.Zone) bool
+	// partitioned says which zones don't reach each other.
+	partitioned func(a, b bundle.Zone) bool
 
 	queue    []caller.Output
 	queueSrc []netip.Addr
-	// upstreamGot and callerGot are what reached the ends.
+	// upstreamGot and callerGot are the packets that reached upstreams and the caller.
 	upstreamGot []run
 	callerGot   []message.Message
 	resets      int
-	passes      int
-	// told counts packets that carry a record and no caller's bytes.
-	told int
+	hops        int
+	// controlPackets counts packets between nodes that carry a record and none of the
+	// caller's bytes.
+	controlPackets int
 }
 
 func testBundle() *bundle.Bundle {
@@ -102,7 +103,7 @@
 	for range n {
 		c.add()
 	}
-	c.settle(false)
+	c.syncViews(false)
 	return c
 }
 
@@ -125,8 +126,8 @@
 	n.engine.SetRouting(c.routing)
 }
 
-// settle gives each node that is up the same view of those that are.
-func (c *cluster) settle(recent bool) {
+// syncViews gives each node that is up a view of all nodes that are up.
+func (c *cluster) syncViews(recent bool) {
 	var members []peer.Member
 	for _, n := range c.nodes {
 		if n.up && !n.paused {
@@ -141,23 +142,23 @@
 }
 
 func (c *cluster) changes(recent bool) peer.Changes {
-	ch := peer.Changes{Recent: recent, Unsettled: recent, Lost: slices.Clone(c.lost)}
+	ch := peer.Changes{RecentlyChanged: recent, RepeatsPossible: recent, Lost: slices.Clone(c.lost)}
 	for _, n := range c.nodes {
 		n.fresh = n.fresh && recent
 		if n.fresh {
-			ch.Fresh = append(ch.Fresh, n.member.ID)
+			ch.RecentlyJoined = append(ch.RecentlyJoined, n.member.ID)
 		}
 	}
 	return ch
 }
 
-// kill ends a node without notice.
+// kill stops a node without a handover.
 func (c *cluster) kill(n *node) {
 	n.up = false
 	c.lost = append(c.lost, n.member)
 }
 
-// sweep lets each node work through all its records twice.
+// sweep lets each node sweep all its records twice.
 func (c *cluster) sweep() {
 	for range 2 {
 		for _, n := range c.nodes {
@@ -185,34 +186,34 @@
 	}
 }
 
-// deliver carries packets until none is under way.
+// deliver transmits packets until none is in transit.
 func (c *cluster) deliver() {
 	for len(c.queue) > 0 {
 		o, src := c.queue[0], c.queueSrc[0]
 		c.queue, c.queueSrc = c.queue[1:], c.queueSrc[1:]
-		c.carry(src, &o)
+		c.transmit(src, &o)
 	}
 }
 
-func (c *cluster) carry(src netip.Addr, o *caller.Output) {
+func (c *cluster) transmit(src netip.Addr, o *caller.Output) {
 	if o.To == fabricAt {
 		c.toCaller(o)
 		return
 	}
 	from := c.nodeAt(src)
 	if u := c.routing.UpstreamAt(o.To.Addr()); u != nil {
-		if c.apart == nil || !c.apart(from.member.Zone, u.Zone) {
+		if c.partitioned == nil || !c.partitioned(from.member.Zone, u.Zone) {
 			c.toUpstream(u, o)
 		}
 		return
 	}
 	to := c.nodeAt(o.To.Addr())
-	if to == nil || c.apart != nil && c.apart(from.member.Zone, to.member.Zone) || c.drop != nil && c.drop(from, to) {
+	if to == nil || c.partitioned != nil && c.partitioned(from.member.Zone, to.member.Zone) || c.drop != nil && c.drop(from, to) {
 		return
 	}
-	c.passes++
+	c.hops++
 	if o.Header.Control {
-		c.told++
+		c.controlPackets++
 	}
 	c.receive(to, src, geneve.Append(nil, &o.Header, c.key, o.Inner))
 }
@@ -230,7 +231,7 @@
 	if !n.up || n.paused {
 		return caller.CauseNone
 	}
-	n.engine.Awake(c.now)
+	n.engine.DetectPause(c.now)
 	p, cause := n.decode.Decode(n.engine, c.key, src, b)
 	if cause != caller.CauseNone {
 		return cause
@@ -268,17 +269,17 @@
 	c.callerGot = append(c.callerGot, m)
 }
 
-// holders returns the nodes whose records a flow lives by: firm ones, and its
-// home's proposal.
-func (c *cluster) holders(r request) []*node {
+// replicas returns the nodes whose records the flow depends on: those with a committed
+// record, and the owner with its proposal.
+func (c *cluster) replicas(r request) []*node {
 	return c.nodesWith(r, func(rec *caller.Record) bool {
-		return rec.State == caller.StateFirm || rec.State == caller.StateTentative && rec.Flags&caller.RecordBackup == 0
+		return rec.State == caller.StateCommitted || rec.State == caller.StateTentative && rec.Flags&caller.RecordBackup == 0
 	})
 }
 
-// knowers returns the nodes that know the flow's upstream at all: holders, those
-// that the first packet passed, and the one that chose.
-func (c *cluster) knowers(r request) []*node {
+// nodesWithUpstream returns all nodes that have the flow's upstream in a record:
+// replicas, those that the first packet passed through, and the placer.
+func (c *cluster) nodesWithUpstream(r request) []*node {
 	return c.nodesWith(r, func(rec *caller.Record) bool { return rec.State != caller.StateEnded })
 }
 
@@ -294,7 +295,7 @@
 	return out
 }
 
-// others returns a node that is up and not among those given.
+// other returns a node that is up and not among those given.
 func (c *cluster) other(not ...*node) *node {
 	for _, n := range c.nodes {
 		if n.up && !n.paused && !slices.Contains(not, n) {
@@ -304,52 +305,53 @@
 	panic("no other node")
 }
 
-// homeOf returns the node that is home of a flow in the first node's view.
-func (c *cluster) homeOf(r request) *node {
+// ownerOf returns the owner of a flow in the first node's view.
+func (c *cluster) ownerOf(r request) *node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
-	return c.nodeAt(c.nodes[0].engine.View().Home(k.Hash()).Data.Addr())
+	return c.nodeAt(c.nodes[0].engine.View().Owner(k.Hash()).Data.Addr())
 }
 
-// flowsAt returns how many flows of a service all nodes count together.
+// flowsAt returns the sum of the flows of a service that all nodes count.
 func (c *cluster) flowsAt(service string) int64 {
 	var sum int64
 	for _, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
 			if u.Service.Name == service {
-				sum += n.engine.Board.Load(u.ID).Flows.Load()
+				sum += n.engine.Loads.Load(u.ID).Flows.Load()
 			}
 		}
 	}
 	return sum
 }
 
-// unlikeLoads makes each node prefer other upstreams, so that two nodes don't
-// choose the same one by chance.
-func (c *cluster) unlikeLoads() {
+// skewLoads gives each node different loads, so that two nodes don't choose the same
+// upstream by chance.
+func (c *cluster) skewLoads() {
 	for i, n := range c.nodes {
 		for _, u := range c.routing.Upstreams() {
-			n.engine.Board.Load(u.ID).Flows.Add(int64(u.ID>>(i%16)) & 7)
+			n.engine.Loads.Load(u.ID).Flows.Add(int64(u.ID>>(i%16)) & 7)
 		}
 	}
 }
 
-// routeOf returns the nodes that the first packet of a flow goes past.
-func (c *cluster) routeOf(r request) []*node {
+// firstPacketPath returns the nodes through which the first packet of a flow passes.
+func (c *cluster) firstPacketPath(r request) []*node {
 	p := ip.Packet{Src: callerAt(r.flow), Dst: serviceAt(r.vni), Protocol: ip.ProtocolUDP}
 	k := caller.KeyOf(r.vni, &p, false)
 	v := c.nodes[0].engine.View()
-	home := c.homeOf(r)
+	owner := c.ownerOf(r)
 	out := make([]*node, 1, 1+len(zones))
-	out[0] = home
+	out[0] = owner
 	for _, z := range zones {
-		out = append(out, c.nodeAt(v.Replica(k.Hash(), z, home.member.ID).Data.Addr()))
+		out = append(out, c.nodeAt(v.Replica(k.Hash(), z, owner.member.ID).Data.Addr()))
 	}
 	return out
 }
 
-// repeat sends a request as its caller does: once more if no upstream got it.
-func (c *cluster) repeat(n *node, r request) []string {
+// callWithRetry sends a request as its caller does: a second time if no upstream got
+// it.
+func (c *cluster) callWithRetry(n *node, r request) []string {
 	u := c.call(n, r)
 	if len(u) > 0 {
 		return u
--- a/internal/connection/caller/requests.go
+++ b/internal/connection/caller/requests.go
@@ -12,31 +12,33 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// MaxTransmitSpan is how long after its first transmission a caller may repeat
-// a confirmable message (RFC 7252, section 4.8.2).
+// MaxTransmitSpan is how long after its first transmission a caller may retransmit a
+// confirmable message (RFC 7252, section 4.8.2).
 const MaxTransmitSpan = 45 * time.Second
 
-// RequestState says where a request stands.
+// RequestState is the state of a request.
 type RequestState uint8
 
 // The states of a request.
 const (
-	// RequestOpen waits for its answer.
+	// RequestOpen is a request that waits for its answer.
 	RequestOpen RequestState = iota + 1
-	// RequestFeed is an observation that was answered and goes on.
-	RequestFeed
-	// RequestAnswered has its answer; repeated copies of it still pass.
+	// RequestObserving is an observation that was answered and continues.
+	RequestObserving
+	// RequestAnswered is a request that has its answer. Retransmitted copies of the
+	// answer still pass.
 	RequestAnswered
-	// RequestExpired was answered by the daemon; its upstream may still work on it.
+	// RequestExpired is a request that the daemon answered at its deadline. Its
+	// upstream may still work on it.
 	RequestExpired
 )
 
-// Request is what the home knows of one request of a flow.
+// Request is what the owner of a flow records of one of its requests.
 type Request struct {
 	Upstream  bundle.UpstreamID
 	Opened    time.Time
 	Deadline  time.Time
-	Seen      time.Time
+	LastSeen  time.Time
 	Message   coap.Message
 	AnswerID  uint16
 	State     RequestState
@@ -48,8 +50,8 @@
 	token coap.Token
 }
 
-// Requests holds the requests of the flows that this daemon is home of. It is
-// safe for concurrent use: each shard has a mutex, no two are held at once.
+// Requests holds the requests of the flows that this daemon owns. It is safe for
+// concurrent use: each shard has a mutex, and no two of them are held at the same time.
 type Requests struct {
 	shards [numShards]requestShard
 	open   atomic.Int64
@@ -88,38 +90,40 @@
 	}
 }
 
-// admit decides whether a call of a CoAP service may go to its upstream.
+// admit decides whether a call of a CoAP service may be sent to its upstream, and opens
+// its request.
 func (e *Engine) admit(w *packetWork, rec *Record) Cause {
 	m := &w.p.CoAP
 	if w.service.Protocol != bundle.ProtocolCoAP || !m.IsRequest() {
 		return CauseNone
 	}
-	if rec.State == StateFirm && !m.IsIdempotent() && w.mayRunElsewhere(rec) {
-		// An earlier record of the flow may be lost, and with it the upstream to
-		// which this request went before: running it here could be the second run.
-		return e.unknown(w)
+	if rec.State == StateCommitted && !m.IsIdempotent() && w.mayHaveRunElsewhere(rec) {
+		// An earlier record of the flow may be lost, and with it the upstream to which
+		// this request was sent before: running the request here could be its second
+		// run.
+		return e.replyUnknown(w)
 	}
-	if rec.State == StateTentative && rec.Flags&RecordUnsure != 0 && !m.IsIdempotent() {
-		// Those who are asked next decide: it goes on only to an upstream that had
-		// the flow before.
+	if rec.State == StateTentative && rec.Flags&RecordUncertain != 0 && !m.IsIdempotent() {
+		// The members that are queried next decide: the request continues only to an
+		// upstream that had the flow before.
 		return CauseNone
 	}
-	load := e.Board.Load(rec.Upstream)
+	load := e.Loads.Load(rec.Upstream)
 	limit, reachable := int64(1), true
 	placed := rec.Upstream != 0
 	if u := w.routing.Upstream(rec.Upstream); u != nil {
 		limit = int64(u.Slots)
-		reachable = w.view.Reaches(u.Zone)
+		reachable = w.view.CanReach(u.Zone)
 	}
 	cause := CauseNone
 	k := requestKey{flow: w.key, token: m.Token}
 	e.Requests.update(&k, w.hash, func(r *Request, found bool) bool {
-		if found && (r.State == RequestFeed || r.Message.MessageID == m.MessageID) {
-			r.Seen = w.now
+		if found && (r.State == RequestObserving || r.Message.MessageID == m.MessageID) {
+			r.LastSeen = w.now
 			return true
 		}
 		if found {
-			e.leave(r)
+			e.closeRequest(r)
 		}
 		if placed && reachable && load.Requests.Load() >= limit && e.isFirstCopy(w) {
 			cause = CauseRefused
@@ -129,7 +133,7 @@
 			Upstream: rec.Upstream,
 			Deadline: w.now.Add(w.service.Deadline),
 			Opened:   w.now,
-			Seen:     w.now,
+			LastSeen: w.now,
 			Message:  *m,
 			State:    RequestOpen,
 		}
@@ -144,51 +148,53 @@
 	case cause == CauseRefused:
 		return e.refuse(w, refusalBusy)
 	case !reachable:
-		// The caller may reach the upstream's side of the cut with its next copy. If
-		// not, it is told at the deadline.
+		// The caller may reach the upstream's side of the network partition with its
+		// next copy. If not, it gets an answer at the deadline.
 		return CauseUnreachable
 	}
 	return CauseNone
 }
 
-// isFirstCopy reports whether a request that isn't known here was surely not let
-// through before. While members change, a caller's first copy may have gone
-// through another home, and "not run" would not be true of the next one.
+// isFirstCopy reports whether it is certain that no copy of a request that isn't
+// recorded here was forwarded before. While members change, a caller's first copy may
+// have passed through another owner, and a refusal of the next copy as not run would be
+// false.
 func (e *Engine) isFirstCopy(w *packetWork) bool {
-	pausedUntil := Seconds(e.fence.Load()) + Seconds(MaxTransmitSpan/time.Second)
-	return !w.view.Unsettled && (e.fence.Load() == 0 || w.seconds > pausedUntil)
+	uncertainUntil := Seconds(e.resumedAt.Load()) + Seconds(MaxTransmitSpan/time.Second)
+	return !w.view.RepeatsPossible && (e.resumedAt.Load() == 0 || w.seconds > uncertainUntil)
 }
 
-// mayRunElsewhere reports whether the caller may have sent this request before,
-// to the upstream of a lost record or to the other side of a cut.
-func (w *packetWork) mayRunElsewhere(rec *Record) bool {
-	if rec.Flags&RecordUnsure == 0 {
+// mayHaveRunElsewhere reports whether the caller may have sent this request before, to
+// the upstream of a lost record or to the other side of a network partition.
+func (w *packetWork) mayHaveRunElsewhere(rec *Record) bool {
+	if rec.Flags&RecordUncertain == 0 {
 		return false
 	}
-	if w.view.BeyondCut(w.hash) {
+	if w.view.OwnerMayBeUnreachable(w.hash) {
 		return true
 	}
-	return time.Duration(unixSeconds(w.now)-rec.Placed)*time.Second < MaxTransmitSpan
+	return time.Duration(unixSeconds(w.now)-rec.PlacedAt)*time.Second < MaxTransmitSpan
 }
 
-// letGo frees what a request holds at its upstream.
-func (e *Engine) letGo(r *Request) {
+// releaseSlot releases the slot that a request holds at its upstream, if any.
+func (e *Engine) releaseSlot(r *Request) {
 	if r.holdsSlot {
 		r.holdsSlot = false
-		e.Board.Load(r.Upstream).Requests.Add(-1)
+		e.Loads.Load(r.Upstream).Requests.Add(-1)
 	}
 }
 
-// leave notes that a request isn't open any more.
-func (e *Engine) leave(r *Request) {
-	e.letGo(r)
+// closeRequest releases the request's slot and no longer counts it as open.
+func (e *Engine) closeRequest(r *Request) {
+	e.releaseSlot(r)
 	if r.State == RequestOpen {
 		e.Requests.open.Add(-1)
 	}
 }
 
-// answered decides whether an answer of the flow's upstream may go to the caller.
-func (e *Engine) answered(w *packetWork, rec *Record) Cause {
+// admitAnswer decides whether an answer of the flow's upstream may be sent to the
+// caller.
+func (e *Engine) admitAnswer(w *packetWork, rec *Record) Cause {
 	m := &w.p.CoAP
 	if w.service.Protocol != bundle.ProtocolCoAP || !m.IsResponse() {
 		return CauseNone
@@ -197,23 +203,23 @@
 	k := requestKey{flow: w.key, token: m.Token}
 	e.Requests.update(&k, w.hash, func(r *Request, found bool) bool {
 		if !found {
-			// A home that took the flow over doesn't know the requests from before;
-			// the upstream that holds the flow is then all there is to check.
-			if rec.Flags&RecordLocal != 0 && !w.view.Recent {
+			// An owner that took the flow over doesn't know the earlier requests. Then
+			// only the upstream that holds the flow can be checked.
+			if rec.Flags&RecordLocal != 0 && !w.view.RecentlyChanged {
 				cause = CauseTokenNotOpen
 			}
 			return false
 		}
-		cause = e.settle(w, r)
+		cause = e.recordAnswer(w, r)
 		return true
 	})
 	return cause
 }
 
-func (e *Engine) settle(w *packetWork, r *Request) Cause {
+func (e *Engine) recordAnswer(w *packetWork, r *Request) Cause {
 	m := &w.p.CoAP
-	r.Seen = w.now
-	e.leave(r)
+	r.LastSeen = w.now
+	e.closeRequest(r)
 	switch r.State {
 	case RequestExpired:
 		return CauseTokenNotOpen
@@ -221,85 +227,88 @@
 		if r.AnswerID != m.MessageID {
 			return CauseTokenNotOpen
 		}
-	case RequestOpen, RequestFeed:
+	case RequestOpen, RequestObserving:
 		r.State = RequestAnswered
 		r.AnswerID = m.MessageID
 		if m.HasObserve {
-			r.State = RequestFeed
+			r.State = RequestObserving
 		}
 	}
 	return CauseNone
 }
 
-// mayHaveRun reports whether the packet is a request that must not run twice.
-func (w *packetWork) mayHaveRun() bool {
+// mustNotRunTwice reports whether the packet is a request that isn't idempotent.
+func (w *packetWork) mustNotRunTwice() bool {
 	return w.service.Protocol == bundle.ProtocolCoAP && w.p.CoAP.IsRequest() && !w.p.CoAP.IsIdempotent()
 }
 
-// expire answers requests whose deadline has passed and forgets old ones.
+// expire answers the requests of one shard whose deadline has passed and removes old
+// ones.
 func (e *Engine) expire(now time.Time, shard int, out []Output) []Output {
 	s := &e.Requests.shards[shard]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := e.view.Load()
 	for k, r := range s.m {
-		home := view.Home(k.flow.Hash())
+		owner := view.Owner(k.flow.Hash())
 		switch {
-		case home != nil && home.ID != e.self:
-			// Another daemon is home now and lets the answer through.
-			e.leave(&r)
+		case owner != nil && owner.ID != e.self:
+			// Another daemon is the owner now and forwards the answer.
+			e.closeRequest(&r)
 			delete(s.m, k)
-		case e.beforeFence(&r):
-			// While this process was paused, others were home: the answer has gone
-			// past it, and the slot would stay taken for nothing. If there was no
-			// answer, the caller's repetition opens the request again.
-			e.leave(&r)
+		case e.seenBeforePause(&r):
+			// While this process was paused, other members were the owner: the answer
+			// has passed through them, and the slot would stay taken for nothing. If
+			// there was no answer, the caller's retransmission opens the request again.
+			e.closeRequest(&r)
 			delete(s.m, k)
 		case r.State == RequestOpen && now.After(r.Deadline):
-			out = e.expired(&k, &r, out)
+			out = e.answerExpired(&k, &r, out)
 			e.Requests.open.Add(-1)
 			r.State = RequestExpired
-			r.Deadline, r.Seen = now.Add(r.Deadline.Sub(r.Opened)), now
+			r.Deadline, r.LastSeen = now.Add(r.Deadline.Sub(r.Opened)), now
 			s.m[k] = r
-		case r.State != RequestOpen && now.Sub(r.Seen) > e.keepFor(&k, &r):
-			e.letGo(&r)
+		case r.State != RequestOpen && now.Sub(r.LastSeen) > e.retention(&k, &r):
+			e.releaseSlot(&r)
 			delete(s.m, k)
 		}
 	}
 	return out
 }
 
-// beforeFence reports whether a request was last seen before a pause of this process.
-func (e *Engine) beforeFence(r *Request) bool {
-	return uint32(e.seconds(r.Seen))+1 < e.fence.Load()
+// seenBeforePause reports whether a request was last seen before the last pause of this
+// process.
+func (e *Engine) seenBeforePause(r *Request) bool {
+	return uint32(e.seconds(r.LastSeen))+1 < e.resumedAt.Load()
 }
 
-// keepFor is how long a request is kept after its last packet. One that expired
-// holds its slot as long again as its deadline was: its upstream may still work
-// on it, but gives it up as well.
-func (e *Engine) keepFor(k *requestKey, r *Request) time.Duration {
+// retention returns how long a request is kept after its last packet. An expired
+// request keeps its slot for as long again as its deadline was: its upstream may still
+// work on it, but gives up on it as well.
+func (e *Engine) retention(k *requestKey, r *Request) time.Duration {
 	t := e.routing.Load()
-	if r.State == RequestFeed && t != nil {
+	if r.State == RequestObserving && t != nil {
 		if s := t.Service(k.flow.VNI()); s != nil {
 			return s.IdleTimeout
 		}
 	}
 	if r.State == RequestExpired {
-		return r.Deadline.Sub(r.Seen)
+		return r.Deadline.Sub(r.LastSeen)
 	}
 	return MaxTransmitSpan
 }
 
-// expired answers a request that got no answer in time: it may have run.
-func (e *Engine) expired(k *requestKey, r *Request, out []Output) []Output {
+// answerExpired answers a request that got no answer by its deadline with the message
+// that its outcome is unknown, because it may have run.
+func (e *Engine) answerExpired(k *requestKey, r *Request, out []Output) []Output {
 	w := packetWork{out: out, hash: k.flow.Hash(), p: &Packet{}}
 	w.p.Header.VNI = k.flow.VNI()
 	w.p.Header.EtherType = etherTypeOf(k.flow.CallerAddr().Addr())
 	w.p.IP.Src, w.p.IP.Dst = k.flow.CallerAddr(), k.flow.ServiceAddr()
 	w.p.CoAP = r.Message
-	// The upstream may have acknowledged the message already, so the answer is a
-	// separate one.
+	// The upstream may have acknowledged the message already, so this answer is a
+	// separate message.
 	w.p.CoAP.Type = message.NonConfirmable
-	e.Counters.Drops[e.unknown(&w)].Add(1)
+	e.Counters.Drops[e.replyUnknown(&w)].Add(1)
 	return w.out
 }
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -58,7 +58,7 @@
 	evacuated  map[bundle.Zone]time.Time
 	candidates []upstream.Candidate
 	requests   map[string]*Requests
-	LoadTable  *upstream.Board
+	LoadTable  *upstream.LoadTable
 	Counters   Counters
 }
 
@@ -91,7 +91,7 @@
 		zoneLoads:      make(map[zoneService]zoneLoad),
 		zoneHealth:     make(map[bundle.Zone]*zoneHealth),
 		requests:       make(map[string]*Requests),
-		LoadTable:      upstream.NewBoard(),
+		LoadTable:      upstream.NewLoadTable(),
 	}
 }
 
@@ -142,7 +142,7 @@
 func (e *Engine) Update(changes []registry.Change, now time.Time) []Reset {
 	var out []Reset
 	for i := range changes {
-		if ch := &changes[i]; ch.Gone {
+		if ch := &changes[i]; ch.Removed {
 			e.deregister(ch.ID, now)
 		} else {
 			out = append(out, e.register(&ch.Registration, now)...)
@@ -171,11 +171,11 @@
 		// After a restore of the store each entry has another position. What was counted from its last change goes on.
 		u.registration = *r
 		return nil
-	case u != nil && r.Unusable && (u.registered || !r.Known()):
+	case u != nil && r.Unusable && (u.registered || !r.HasContent()):
 		// Its open flows go on by what was known before.
 		u.registration.Revision, u.registration.Unusable = r.Revision, true
 		return nil
-	case u == nil && !r.Known():
+	case u == nil && !r.HasContent():
 		e.addDeregistered(r.ID, netip.AddrPort{}, now)
 		return nil
 	case u == nil:
--- a/internal/connection/cookie/open.go
+++ b/internal/connection/cookie/open.go
@@ -100,12 +100,12 @@
 				continue
 			}
 			e.candidates = append(e.candidates, upstream.Candidate{
-				Route: u.Route,
-				Load:  u.load,
-				Cold:  now.Before(u.warmingUntil),
-				Busy:  busy,
+				Route:           u.Route,
+				Load:            u.load,
+				Cold:            now.Before(u.warmingUntil),
+				RequestsPerFlow: busy,
 
-				ZoneFlows: e.zoneFlowsPerSlot(u, now),
+				ZoneFlowsPerSlot: e.zoneFlowsPerSlot(u, now),
 			})
 		}
 		if chosen := e.opts.Policy.Choose(e.candidates, seed); chosen != nil {
--- a/internal/connection/cookie/report.go
+++ b/internal/connection/cookie/report.go
@@ -41,8 +41,8 @@
 	e.SetZoneLoads(r.Zones, now)
 	e.SampleServiceLoads(r.Services)
 	ejected := e.EjectFailing(r.Loads, r.Services, now)
-	e.LoadTable.Keep(nil)
-	e.LoadTable.Heard(zoneSumMember, ids, flows)
+	e.LoadTable.RetainMembers(nil)
+	e.LoadTable.UpdateReported(zoneSumMember, ids, flows)
 	for _, id := range r.Dead {
 		e.ReportedDead(id, now)
 	}
--- a/internal/connection/cookie/watch.go
+++ b/internal/connection/cookie/watch.go
@@ -162,11 +162,11 @@
 }
 
 // DeregisteredDead returns the upstreams that left the list and were found dead.
-func (e *Engine) DeregisteredDead() []peer.GoneUpstream {
-	var out []peer.GoneUpstream
+func (e *Engine) DeregisteredDead() []peer.DeregisteredUpstream {
+	var out []peer.DeregisteredUpstream
 	for id, u := range e.upstreams {
 		if !u.registered && u.health == HealthDead {
-			out = append(out, peer.GoneUpstream{ID: id, Address: u.Route.Address})
+			out = append(out, peer.DeregisteredUpstream{ID: id, Address: u.Route.Address})
 		}
 	}
 	return out
@@ -174,7 +174,7 @@
 
 // LearnDeregisteredDead takes in upstreams that another balancer found dead after they left the
 // list. As with ReportedDead, this one looks for itself as soon as a packet names one.
-func (e *Engine) LearnDeregisteredDead(list []peer.GoneUpstream, now time.Time) {
+func (e *Engine) LearnDeregisteredDead(list []peer.DeregisteredUpstream, now time.Time) {
 	for _, g := range list {
 		if e.upstreams[g.ID] == nil && g.Address.IsValid() {
 			e.addDeregistered(g.ID, g.Address, now).health = HealthSuspect
--- a/internal/standin/emulator/play.go
+++ b/internal/standin/emulator/play.go
@@ -152,7 +152,7 @@
 	for _, z := range w.zones {
 		for _, h := range z.hosts {
 			d := time.Duration(w.pattern.Delays.List)
-			w.after(d+w.jitter(d), func() { h.learn(registry.Change{Registration: r, Gone: gone}, asOf) })
+			w.after(d+w.jitter(d), func() { h.learn(registry.Change{Registration: r, Removed: gone}, asOf) })
 		}
 	}
 }
@@ -177,7 +177,7 @@
 			h.begin()
 		}
 		w.every(w.jitter(loadsPeriod), loadsPeriod, func() { w.exchange(z, false) })
-		w.every(w.jitter(peer.EagerPeriod), peer.EagerPeriod, func() { w.exchange(z, true) })
+		w.every(w.jitter(peer.StartupReportPeriod), peer.StartupReportPeriod, func() { w.exchange(z, true) })
 		z.router.begin()
 	}
 }
