--- a/internal/connection/cookie/bench_test.go
+++ b/internal/connection/cookie/bench_test.go
@@ -31,7 +31,7 @@
 	return e, packets
 }
 
-// BenchmarkEstablished decides for packets of known flows.
+// BenchmarkEstablished decides on packets of known flows.
 func BenchmarkEstablished(b *testing.B) {
 	e, packets := benchEngine(b)
 	b.ReportAllocs()
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkNaive is what Established is compared with: hash modulo n, one map of
-// flows under one mutex, the least loaded of all at placing.
+// BenchmarkNaive is the baseline to which BenchmarkEstablished is compared: hash modulo n, one map
+// of flows under one mutex, the least loaded of all upstreams at placement.
 func BenchmarkNaive(b *testing.B) {
 	_, packets := benchEngine(b)
 	var mu sync.Mutex
@@ -93,7 +93,7 @@
 	return list
 }
 
-// BenchmarkUpstreams takes in a change of one of 3000 upstreams.
+// BenchmarkUpstreams applies a change of one of 3000 upstreams.
 func BenchmarkUpstreams(b *testing.B) {
 	gomega.RegisterTestingT(b)
 	list := registrations3000()
@@ -113,9 +113,9 @@
 	b.ReportAllocs()
 	now := start
 	for i := 0; b.Loop(); i++ {
-		gone := registry.Change{Registration: list[7], Removed: true}
+		removed := registry.Change{Registration: list[7], Removed: true}
 		list[7].ID += 1 << 24
-		e.Update([]registry.Change{gone, {Registration: list[7]}}, now)
+		e.Update([]registry.Change{removed, {Registration: list[7]}}, now)
 		if i%10_000 == 0 {
 			now = now.Add(2 * time.Minute)
 			e.Expire(now)
--- a/internal/connection/cookie/differential_test.go
+++ b/internal/connection/cookie/differential_test.go
@@ -14,35 +14,35 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// cluster is several balancers behind routers that hand any packet to any of them,
-// with upstreams that come, drain, leave and start again, entries that another writer
-// replaces, and lists that lag. The naive version
-// it is compared with is one map of flows to upstreams that knows everything.
+// cluster is several balancers behind routers that hand any packet to any of them, with upstreams
+// that are added, drain, end and restart, entries that another writer overwrites, and registrations
+// that arrive late. The model to which it is compared is one map of flows to upstreams, which is
+// always up to date.
 type cluster struct {
 	t       *rapid.T
 	now     time.Time
 	engines []*cookie.Engine
-	// truth is the store's list; each engine is told it late.
-	truth    map[bundle.UpstreamID]registry.Registration
-	left     map[bundle.UpstreamID]bool
+	// stored holds the registrations in the store; each engine receives them late.
+	stored   map[bundle.UpstreamID]registry.Registration
+	ended    map[bundle.UpstreamID]bool
 	revision objects.Position
-	naive    map[*caller]bundle.UpstreamID
-	// late are entries on their way to the store.
-	late []lateEntry
-	// away is until when the store is away.
-	away  time.Time
-	flows []*caller
+	model    map[*caller]bundle.UpstreamID
+	// delayed are entries on their way to the store.
+	delayed []delayedEntry
+	// storeDownUntil is until when the store is unavailable.
+	storeDownUntil time.Time
+	flows          []*caller
 }
 
 func newCluster(t *rapid.T) *cluster {
 	c := &cluster{
 		t: t, now: start,
-		truth: make(map[bundle.UpstreamID]registry.Registration),
-		left:  make(map[bundle.UpstreamID]bool),
-		naive: make(map[*caller]bundle.UpstreamID),
+		stored: make(map[bundle.UpstreamID]registry.Registration),
+		ended:  make(map[bundle.UpstreamID]bool),
+		model:  make(map[*caller]bundle.UpstreamID),
 	}
 	for range 4 {
-		c.join()
+		c.addUpstream()
 	}
 	for range 3 {
 		c.engines = append(c.engines, newEngine(c.list()))
@@ -51,33 +51,33 @@
 }
 
 func (c *cluster) list() []registry.Registration {
-	out := make([]registry.Registration, 0, len(c.truth))
-	for _, r := range c.truth {
+	out := make([]registry.Registration, 0, len(c.stored))
+	for _, r := range c.stored {
 		out = append(out, r)
 	}
 	return out
 }
 
-func (c *cluster) any() *cookie.Engine {
+func (c *cluster) anyEngine() *cookie.Engine {
 	return c.engines[rapid.IntRange(0, len(c.engines)-1).Draw(c.t, "engine")]
 }
 
-func (c *cluster) join() {
+func (c *cluster) addUpstream() {
 	c.revision++
 	r := registration(int(c.revision%200) + 1)
 	r.ID = bundle.UpstreamID(0xabc000 + c.revision)
 	r.Created, r.Revision = c.revision, c.revision
-	c.truth[r.ID] = r
+	c.stored[r.ID] = r
 }
 
-// pick returns an upstream that isn't draining, if more than one is.
-func (c *cluster) pick(draining bool) (registry.Registration, bool) {
+// pickUpstream returns a random upstream that is or isn't draining, if more than one qualifies.
+func (c *cluster) pickUpstream(draining bool) (registry.Registration, bool) {
 	var fits []registry.Registration
 	for id := bundle.UpstreamID(0); id <= bundle.UpstreamID(0xabc000+c.revision); id++ {
 		if id == 1 {
 			id = 0xabc000
 		}
-		if r, ok := c.truth[id]; ok && r.Draining == draining {
+		if r, ok := c.stored[id]; ok && r.Draining == draining {
 			fits = append(fits, r)
 		}
 	}
@@ -87,107 +87,108 @@
 	return fits[rapid.IntRange(0, len(fits)-1).Draw(c.t, "upstream")], true
 }
 
-func (c *cluster) drain() {
-	if r, ok := c.pick(false); ok {
+func (c *cluster) drainUpstream() {
+	if r, ok := c.pickUpstream(false); ok {
 		c.revision++
 		r.Draining, r.Revision = true, c.revision
-		c.truth[r.ID] = r
+		c.stored[r.ID] = r
 	}
 }
 
-// leave ends a draining upstream whose flows have ended.
-func (c *cluster) leave() {
-	r, ok := c.pick(true)
+// endDrained ends a draining upstream, and with it the flows that it still has.
+func (c *cluster) endDrained() {
+	r, ok := c.pickUpstream(true)
 	if !ok {
 		return
 	}
-	delete(c.truth, r.ID)
-	c.left[r.ID] = true
-	for f, u := range c.naive {
+	delete(c.stored, r.ID)
+	c.ended[r.ID] = true
+	for f, u := range c.model {
 		if u == r.ID {
-			delete(c.naive, f)
+			delete(c.model, f)
 		}
 	}
 }
 
-// reborn lets an upstream start again under its identifier. Its flows end; its new entry is
-// in the store at once or some seconds later.
-func (c *cluster) reborn() {
-	r, ok := c.pick(false)
+// restartUpstream restarts an upstream under its identifier. Its flows end; its new entry is in the
+// store immediately or some seconds later.
+func (c *cluster) restartUpstream() {
+	r, ok := c.pickUpstream(false)
 	if !ok {
 		return
 	}
-	for f, u := range c.naive {
+	for f, u := range c.model {
 		if u == r.ID {
-			delete(c.naive, f)
+			delete(c.model, f)
 		}
 	}
 	c.revision++
 	r.StartTime, r.Sequence, r.Revision = registry.UnixMilli(c.now.UnixMilli()), 1, c.revision
 	delay := time.Duration(rapid.IntRange(0, 4000).Draw(c.t, "registered after"))
-	c.late = append(c.late, lateEntry{at: c.reaches(c.now.Add(delay * time.Millisecond)), entry: r})
+	c.delayed = append(c.delayed, delayedEntry{at: c.writeTime(c.now.Add(delay * time.Millisecond)), entry: r})
 }
 
-// lateEntry is an entry that reaches the store at a time.
-type lateEntry struct {
+// delayedEntry is an entry that reaches the store at a time.
+type delayedEntry struct {
 	at    time.Time
 	entry registry.Registration
 }
 
-// outage lets the store be away for some seconds. Upstreams that started again meanwhile can
-// write their entries only within two seconds of its return; the list has the former ones
-// until then.
-func (c *cluster) outage() {
-	c.away = c.now.Add(time.Duration(rapid.IntRange(3000, 12000).Draw(c.t, "away")) * time.Millisecond)
-	for i := range c.late {
-		c.late[i].at = c.reaches(c.late[i].at)
+// stopStore makes the store unavailable for some seconds. Upstreams that restarted meanwhile can
+// write their entries only within two seconds after its return; it holds the former ones until
+// then.
+func (c *cluster) stopStore() {
+	c.storeDownUntil = c.now.Add(time.Duration(rapid.IntRange(3000, 12000).Draw(c.t, "away")) * time.Millisecond)
+	for i := range c.delayed {
+		c.delayed[i].at = c.writeTime(c.delayed[i].at)
 	}
 }
 
-// reaches returns when an entry that an upstream writes at a time is in the store.
-func (c *cluster) reaches(at time.Time) time.Time {
-	if !at.Before(c.away) {
+// writeTime returns when an entry that an upstream writes at a time is in the store.
+func (c *cluster) writeTime(at time.Time) time.Time {
+	if !at.Before(c.storeDownUntil) {
 		return at
 	}
-	return c.away.Add(time.Duration(rapid.IntRange(0, 2000).Draw(c.t, "registered after")) * time.Millisecond)
+	return c.storeDownUntil.Add(time.Duration(rapid.IntRange(0, 2000).Draw(c.t, "registered after")) * time.Millisecond)
 }
 
-// foreign lets another writer replace an upstream's entry, or the upstream replace it again.
-func (c *cluster) foreign() {
-	r, ok := c.pick(false)
+// overwrite makes an upstream's entry unusable, as another writer does, or usable again, as the
+// upstream does.
+func (c *cluster) overwrite() {
+	r, ok := c.pickUpstream(false)
 	if !ok {
 		return
 	}
 	c.revision++
 	r.Unusable, r.Revision = !r.Unusable, c.revision
-	c.truth[r.ID] = r
+	c.stored[r.ID] = r
 }
 
-// write puts into the store what is due.
-func (c *cluster) write() {
-	for i, l := range c.late {
+// writeDelayed writes delayed entries that are due to the store.
+func (c *cluster) writeDelayed() {
+	for i, l := range c.delayed {
 		if l.entry.ID != 0 && !l.at.After(c.now) {
-			if now, ok := c.truth[l.entry.ID]; ok {
+			if now, ok := c.stored[l.entry.ID]; ok {
 				c.revision++
 				l.entry.Revision, l.entry.Draining = c.revision, now.Draining
-				c.truth[l.entry.ID] = l.entry
+				c.stored[l.entry.ID] = l.entry
 			}
-			c.late[i].entry.ID = 0
+			c.delayed[i].entry.ID = 0
 		}
 	}
 }
 
-func (c *cluster) tell() {
-	if c.now.Before(c.away) {
+func (c *cluster) synchronize() {
+	if c.now.Before(c.storeDownUntil) {
 		return
 	}
-	c.write()
-	e := c.any()
+	c.writeDelayed()
+	e := c.anyEngine()
 	setUpstreams(e, c.list(), c.now)
 	e.ConfirmRegistrations(c.now)
 }
 
-func (c *cluster) restart() {
+func (c *cluster) restartBalancer() {
 	i := rapid.IntRange(0, len(c.engines)-1).Draw(c.t, "restarted")
 	c.engines[i] = newEngine(c.list())
 }
@@ -195,21 +196,21 @@
 func (c *cluster) openFlow() {
 	f := newCaller(len(c.flows), feedAt)
 	c.flows = append(c.flows, f)
-	v := c.any().Decide(f.first(0), c.now)
-	if v.Action != cookie.ActionForward || c.left[v.Upstream.Route.ID] {
-		return // The upstream went and this balancer doesn't know yet: nobody answers.
+	v := c.anyEngine().Decide(f.first(0), c.now)
+	if v.Action != cookie.ActionForward || c.ended[v.Upstream.Route.ID] {
+		return // The upstream has ended and this balancer hasn't received that yet: it gets no answer.
 	}
-	f.answered(v.Upstream)
-	c.naive[f] = v.Upstream.Route.ID
+	f.receiveAnswer(v.Upstream)
+	c.model[f] = v.Upstream.Route.ID
 	c.send(f, f.ackPacket(1))
 }
 
-func (c *cluster) packet() {
+func (c *cluster) sendPacket() {
 	if len(c.flows) == 0 {
 		return
 	}
 	f := c.flows[rapid.IntRange(0, len(c.flows)-1).Draw(c.t, "flow")]
-	if _, ok := c.naive[f]; !ok {
+	if _, ok := c.model[f]; !ok {
 		return
 	}
 	if rapid.Bool().Draw(c.t, "request") {
@@ -219,16 +220,15 @@
 	c.send(f, f.ackPacket(500))
 }
 
-// send compares where a packet of an open flow goes with the naive version. A
-// balancer may not know the upstream yet and drop the packet; it must never reset
-// the flow or send it elsewhere.
+// send compares the destination of a packet of an open flow to the model. A balancer that doesn't
+// know the upstream yet may drop the packet; it must never reset the flow or send it elsewhere.
 func (c *cluster) send(f *caller, p *cookie.Packet) {
-	v := c.any().Decide(p, c.now)
+	v := c.anyEngine().Decide(p, c.now)
 	switch v.Action {
 	case cookie.ActionReset:
 		c.t.Fatalf("open flow reset: %v", v.Cause)
 	case cookie.ActionForward:
-		if got, want := v.Upstream.Route.ID, c.naive[f]; got != want {
+		if got, want := v.Upstream.Route.ID, c.model[f]; got != want {
 			c.t.Fatalf("sent to %x, want %x", got, want)
 		}
 	case cookie.ActionDrop:
@@ -238,21 +238,21 @@
 	}
 }
 
-// TestDifferential draws sequences of planned change and compares every packet's
-// way with that of the naive version.
+// TestDifferential draws sequences of planned changes and compares the destination of every packet
+// to that of the model.
 func TestDifferential(t *testing.T) {
 	gomega.RegisterTestingT(t)
 	seeds.Fix()
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t)
 		steps := map[string]func(){
-			"join": c.join, "drain": c.drain, "leave": c.leave, "tell": c.tell, "restart": c.restart,
-			"open": c.openFlow, "packet": c.packet, "reborn": c.reborn, "foreign": c.foreign,
-			"outage": c.outage,
+			"join": c.addUpstream, "drain": c.drainUpstream, "end": c.endDrained, "sync": c.synchronize,
+			"restart balancer": c.restartBalancer, "open": c.openFlow, "packet": c.sendPacket,
+			"restart upstream": c.restartUpstream, "overwrite": c.overwrite, "outage": c.stopStore,
 		}
 		order := []string{
-			"join", "drain", "leave", "tell", "tell", "restart", "open", "open", "packet", "packet", "packet", "packet",
-			"reborn", "reborn", "foreign", "outage",
+			"join", "drain", "end", "sync", "sync", "restart balancer", "open", "open", "packet", "packet", "packet", "packet",
+			"restart upstream", "restart upstream", "overwrite", "outage",
 		}
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			steps[rapid.SampledFrom(order).Draw(t, "step")]()
--- a/internal/connection/cookie/ejection_test.go
+++ b/internal/connection/cookie/ejection_test.go
@@ -11,8 +11,9 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// fail lets so many requests at each upstream of the list go without an answer.
-func fail(e *cookie.Engine, now time.Time, at func(bundle.UpstreamID) bool) time.Time {
+// failRequests sends a request on each of 60 new flows and answers only those of upstreams for
+// which the function returns false. It returns a time after the others have failed.
+func failRequests(e *cookie.Engine, now time.Time, at func(bundle.UpstreamID) bool) time.Time {
 	for n := range 60 {
 		c := newCaller(1000+n, feedAt)
 		u := c.open(e, now)
@@ -26,8 +27,9 @@
 	return now
 }
 
-// placed counts where new flows go. Callers are told apart by the time.
-func placed(e *cookie.Engine, now time.Time) map[bundle.UpstreamID]int {
+// countPlacements counts where 60 new flows are placed. The time makes callers differ from those of
+// other calls.
+func countPlacements(e *cookie.Engine, now time.Time) map[bundle.UpstreamID]int {
 	out := make(map[bundle.UpstreamID]int)
 	first := 3000 + int(now.Sub(start)/(10*ms))
 	for n := range 60 {
@@ -40,15 +42,15 @@
 	bad := registration(1).ID
 	isBad := func(u bundle.UpstreamID) bool { return u == bad }
 
-	// An upstream's health check is good, and two of five requests hang. Desks whose
-	// alerts came late reconnect, and are given the same upstream again.
-	It("gets no new flows for a while, and then again", func() {
+	// Guards against callers that reconnect after a late answer and get an upstream again that
+	// passes its health check but leaves two of five requests unanswered.
+	It("gets no new flows while it is ejected, and some afterwards", func() {
 		e := newEngine(registrations(6))
-		now := fail(e, start, isBad)
+		now := failRequests(e, start, isBad)
 		Expect(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now)).To(Equal([]bundle.UpstreamID{bad}))
-		Expect(placed(e, now)).NotTo(HaveKey(bad))
+		Expect(countPlacements(e, now)).NotTo(HaveKey(bad))
 		now = now.Add(2 * time.Second)
-		Expect(placed(e, now)).To(HaveKey(bad))
+		Expect(countPlacements(e, now)).To(HaveKey(bad))
 	})
 
 	It("keeps its open flows", func() {
@@ -60,28 +62,28 @@
 			}
 			c = newCaller(n, feedAt)
 		}
-		now := fail(e, start, isBad)
+		now := failRequests(e, start, isBad)
 		Expect(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now)).To(HaveLen(1))
 		Expect(id(e.Decide(c.request(5), now))).To(Equal(bad))
 	})
 
-	// The link of a whole zone is slow. Every upstream seems to fail, and leaving all
-	// out would refuse everybody.
-	It("isn't left out if most others fail too", func() {
+	// Guards against refusing all flows: if the link of a whole zone is slow, every upstream seems
+	// to fail.
+	It("isn't ejected if most others fail too", func() {
 		e := newEngine(registrations(6))
-		now := fail(e, start, func(bundle.UpstreamID) bool { return true })
+		now := failRequests(e, start, func(bundle.UpstreamID) bool { return true })
 		Expect(len(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now))).To(BeNumerically("<=", 1))
-		Expect(len(placed(e, now))).To(BeNumerically(">=", 5))
+		Expect(len(countPlacements(e, now))).To(BeNumerically(">=", 5))
 	})
 
-	It("takes flows if it is the last one", func() {
+	It("takes flows if it is the only upstream", func() {
 		e := newEngine(registrations(1))
-		now := fail(e, start, isBad)
+		now := failRequests(e, start, isBad)
 		Expect(e.EjectFailing(e.UpstreamLoads(), e.ServiceLoads(), now)).To(BeEmpty())
-		Expect(placed(e, now)).To(HaveKey(bad))
+		Expect(countPlacements(e, now)).To(HaveKey(bad))
 	})
 
-	It("isn't left out for a few failures or for a small share", func() {
+	It("isn't ejected for a few failures or for a small share", func() {
 		e := newEngine(registrations(6))
 		judge := func(failed, answered uint32) []bundle.UpstreamID {
 			return e.EjectFailing(
@@ -93,13 +95,13 @@
 		Expect(judge(30, 70)).To(HaveLen(1))
 	})
 
-	// Hosts are replaced one after the other, and routers move nearly all flows each
-	// time. The balancers that had them see requests without an answer at every upstream,
-	// and left out a quarter of them each time: the rest got a third more new flows.
-	It("isn't left out when flows move to other balancers", func() {
+	// Guards against ejections during a rolling replacement of hosts. Routers move nearly all flows
+	// each time, so the former balancers see requests without an answer at every upstream. If they
+	// eject a quarter of the upstreams, the others get a third more new flows.
+	It("isn't ejected when flows move to other balancers", func() {
 		e := newEngine(registrations(12))
 		moved := 0
-		now := fail(e, start, func(bundle.UpstreamID) bool {
+		now := failRequests(e, start, func(bundle.UpstreamID) bool {
 			moved++
 			return moved%2 == 0
 		})
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -35,7 +35,7 @@
 	opts      Options
 	routing   *bundle.Routing
 	upstreams map[bundle.UpstreamID]*Upstream
-	index     upstreamIndex
+	index     index
 	flows     map[Key]*flow
 	// unknownCookies holds when each cookie that names no known upstream was first seen.
 	unknownCookies map[Cookie]time.Time
@@ -49,14 +49,14 @@
 	// host's side.
 	pendingSuspects []*Upstream
 	nextCheck       time.Time
-	waiting         waitQueues
+	waitQueues      waitQueues
 	// typicalLatency is the smoothed time in which requests of each service are answered.
 	typicalLatency map[string]time.Duration
 	// outcomesRotatedAt is when the windows of request outcomes were last rotated.
 	outcomesRotatedAt time.Time
 	activity          map[string]flowActivity
 	zoneLoads         map[zoneService]zoneLoad
-	zoneHealth        map[bundle.Zone]*zoneHealth
+	healthByZone      map[bundle.Zone]*zoneHealth
 	// evacuated holds since when each evacuated zone is evacuated.
 	evacuated  map[bundle.Zone]time.Time
 	candidates []upstream.Candidate
@@ -86,14 +86,14 @@
 	return &Engine{
 		opts:           o,
 		upstreams:      make(map[bundle.UpstreamID]*Upstream),
-		index:          newUpstreamIndex(),
+		index:          newIndex(),
 		flows:          make(map[Key]*flow),
-		waiting:        make(waitQueues),
+		waitQueues:     make(waitQueues),
 		typicalLatency: make(map[string]time.Duration),
 		unknownCookies: make(map[Cookie]time.Time),
 		activity:       make(map[string]flowActivity),
 		zoneLoads:      make(map[zoneService]zoneLoad),
-		zoneHealth:     make(map[bundle.Zone]*zoneHealth),
+		healthByZone:   make(map[bundle.Zone]*zoneHealth),
 		requests:       make(map[string]*Requests),
 		LoadTable:      upstream.NewLoadTable(),
 	}
--- a/internal/connection/cookie/engine_test.go
+++ b/internal/connection/cookie/engine_test.go
@@ -12,9 +12,9 @@
 )
 
 var _ = Describe("A flow", func() {
-	// A desk's feed breaks whenever routers move it: the next balancer has no record
-	// of it and sends its packets anywhere.
-	It("goes to its upstream through a balancer that has never seen it", func() {
+	// Guards against flows that break when routers move them to a balancer without a record of
+	// them.
+	It("reaches its upstream through a balancer without a record of it", func() {
 		first, second := newEngine(registrations(5)), newEngine(registrations(5))
 		c := newCaller(1, feedAt)
 		u := c.open(first, start)
@@ -29,10 +29,10 @@
 		Expect(v.Action).To(Equal(cookie.ActionReset))
 		Expect(v.Cause).To(Equal(cookie.CauseNoRoute))
 		v = e.Decide(&cookie.Packet{Key: c.key, Flags: cookie.FlagRST}, start)
-		Expect(v.Action).To(Equal(cookie.ActionDrop), "a reset isn't answered by a reset")
+		Expect(v.Action).To(Equal(cookie.ActionDrop), "a reset isn't answered with a reset")
 	})
 
-	It("ends when a bundle drops its route, and stays when it doesn't", func() {
+	It("ends when a bundle removes its route, and stays when a bundle keeps it", func() {
 		e := newEngine(registrations(2))
 		c, other := newCaller(1, feedAt), newCaller(2, feedAt)
 		c.open(e, start)
@@ -42,14 +42,13 @@
 		Expect(resets).To(HaveLen(2))
 		Expect(resets).To(ContainElement(And(
 			HaveField("Key", c.key),
-			HaveField("Seq", c.ack), // Within what the caller accepts.
+			HaveField("Seq", c.ack), // Within the window of the caller.
 			HaveField("Cause", cookie.CauseNoRoute),
 		)))
 	})
 
-	// A secretary waits for her whole deadline although everybody knows that no
-	// upstream can serve her.
-	It("is refused at once if no upstream can take it", func() {
+	// Guards against callers that wait until their deadline although no upstream can serve them.
+	It("is refused immediately if no upstream can take it", func() {
 		list := registrations(2)
 		for i := range list {
 			list[i].Draining = true
@@ -59,7 +58,7 @@
 		Expect(v.Cause).To(Equal(cookie.CauseNoUpstream))
 	})
 
-	It("is placed in another zone only if the own one has no room", func() {
+	It("is placed in another zone only if the own one has no free capacity", func() {
 		list := registrations(2)
 		list[1].Zone = otherZone
 		e := newEngine(list)
@@ -86,8 +85,8 @@
 	})
 })
 
-var _ = Describe("A first packet's copy", func() {
-	It("follows the first one to an upstream that answers others", func() {
+var _ = Describe("A retransmission of a first packet", func() {
+	It("goes to the same upstream as the first one if that answers other flows", func() {
 		e := newEngine(registrations(4))
 		c := newCaller(1, feedAt)
 		u := e.Decide(c.first(0), start).Upstream
@@ -95,7 +94,7 @@
 			o := newCaller(10+n, feedAt)
 			v := e.Decide(o.first(0), start)
 			if v.Upstream == u {
-				o.answered(u)
+				o.receiveAnswer(u)
 				e.Decide(o.ackPacket(1), start.Add(150*time.Millisecond))
 			}
 		}
@@ -104,9 +103,9 @@
 		Expect(v.Cause).To(Equal(cookie.CauseRepeated))
 	})
 
-	// A quarter of the upstreams crash. A desk that reconnects is given a dead one and
-	// waits until its attempt ends, though others have room.
-	It("goes to another upstream if the first is silent and others aren't", func() {
+	// Guards against callers that reconnect after a quarter of the upstreams crashed, are placed at
+	// a dead one and wait until their attempt times out, though others have free capacity.
+	It("goes to another upstream if the first one is silent and others aren't", func() {
 		e := newEngine(registrations(4))
 		c := newCaller(1, feedAt)
 		dead := e.Decide(c.first(0), start).Upstream
@@ -119,9 +118,9 @@
 		Expect(third.Action).To(Equal(cookie.ActionForward))
 	})
 
-	// A host's own link is full for half a second. Every flow it opens is moved from
-	// upstream to upstream, each of which keeps half a flow.
-	It("stays if no upstream at all is heard", func() {
+	// Guards against moving flows from upstream to upstream while the host's own link is full for
+	// half a second. Each upstream would keep a half-open flow.
+	It("goes to the same upstream if no upstream at all is seen", func() {
 		e := newEngine(registrations(4))
 		c := newCaller(1, feedAt)
 		u := e.Decide(c.first(0), start).Upstream
@@ -130,32 +129,32 @@
 		Expect(e.DueProbes(start.Add(200 * time.Millisecond))).To(BeEmpty())
 	})
 
-	// Two upstreams answered one caller: the first was only slow. The caller repeats
-	// the cookie that came last, and its open flow is sent to the other upstream,
-	// which resets it: a booking is lost.
-	It("leaves the flow where it opened, though another upstream answers late", func() {
+	// Guards against lost requests when two upstreams answer one caller, since the first was only
+	// slow. The caller repeats the cookie that it received last; by that cookie, its open flow
+	// would go to the other upstream, which resets it.
+	It("leaves the flow where it opened, even if another upstream answers late", func() {
 		e := newEngine(registrations(4))
 		c := newCaller(1, feedAt)
 		slow := e.Decide(c.first(0), start).Upstream
 		openAtOther(e, slow, start.Add(150*time.Millisecond))
 		second := e.Decide(c.first(1), start.Add(200*time.Millisecond)).Upstream
 		Expect(second).NotTo(Equal(slow))
-		c.answered(slow)
+		c.receiveAnswer(slow)
 		now := start.Add(210 * time.Millisecond)
 		Expect(e.Decide(c.ackPacket(1), now).Upstream).To(Equal(slow), "its answer was acknowledged")
-		c.answered(second)
+		c.receiveAnswer(second)
 		Expect(e.Decide(c.request(10), now).Upstream).To(Equal(slow))
 	})
 })
 
-// openAtOther opens a flow anywhere but at u, so that some upstream is heard.
+// openAtOther opens a flow at any upstream except u, so that some upstream is seen.
 func openAtOther(e *cookie.Engine, u *cookie.Upstream, now time.Time) {
 	GinkgoHelper()
 	for n := range 50 {
 		o := newCaller(100+n, feedAt)
 		v := e.Decide(o.first(0), now)
 		if v.Upstream != u {
-			o.answered(v.Upstream)
+			o.receiveAnswer(v.Upstream)
 			e.Decide(o.ackPacket(1), now)
 			return
 		}
@@ -164,9 +163,9 @@
 }
 
 var _ = Describe("A cookie", func() {
-	// A host lost power and comes back while upstreams' entries have lapsed in the
-	// store. It finds cookies that it doesn't know and resets live feeds.
-	It("that isn't known resets nothing until the list was complete for long", func() {
+	// Guards against resets of live flows by a host that restarts after a power loss, while
+	// registrations have lapsed in the store. It receives cookies that it doesn't know.
+	It("that isn't known causes no reset until the registrations have been complete for unknownGrace", func() {
 		e := newEngine(registrations(1))
 		c := newCaller(1, feedAt)
 		c.cookie = 77
@@ -179,7 +178,7 @@
 		Expect(e.Decide(c.request(5), start.Add(4*time.Second)).Action).To(Equal(cookie.ActionReset))
 	})
 
-	It("of a newcomer is forwarded once the list has it", func() {
+	It("of a new upstream is forwarded once the upstream is registered", func() {
 		e := newEngine(registrations(1))
 		c := newCaller(1, feedAt)
 		c.cookie = cookie.Of(registration(2).ID)
@@ -188,11 +187,11 @@
 		Expect(id(e.Decide(c.request(5), start))).To(Equal(registration(2).ID))
 	})
 
-	// Two upstreams whose identifiers give the same cookie: packets of one's flows
-	// reach the other, which resets them.
-	It("that two upstreams share belongs to the older one, and the younger gets no flow", func() {
+	// Guards against packets that reach the wrong of two upstreams whose identifiers have the same
+	// cookie. That upstream would reset their flow.
+	It("that two upstreams share belongs to the older one, and the newer one gets no flow", func() {
 		older, younger := registration(1), registration(2)
-		older.ID, younger.ID = sameCookie()
+		older.ID, younger.ID = idsWithSameCookie()
 		younger.Service = "sheets"
 		e := newEngine([]registry.Registration{younger, older})
 		c := newCaller(1, feedAt)
@@ -201,13 +200,13 @@
 		Expect(v.Action).To(Equal(cookie.ActionReset))
 		setUpstreams(e, []registry.Registration{younger}, start)
 		Expect(e.Decide(newCaller(3, sheetsAt).first(0), start).Action).To(Equal(cookie.ActionReset),
-			"flows of the one that went may still come")
+			"packets for flows of the deregistered one may still arrive")
 	})
 })
 
-// sameCookie finds two identifiers with one cookie: after 2^17 identifiers about
-// two pairs are expected.
-func sameCookie() (a, b bundle.UpstreamID) {
+// idsWithSameCookie finds two identifiers with the same cookie: among 2^17 identifiers about two
+// pairs are expected.
+func idsWithSameCookie() (a, b bundle.UpstreamID) {
 	seen := make(map[cookie.Cookie]bundle.UpstreamID)
 	for i := bundle.UpstreamID(1); ; i++ {
 		c := cookie.Of(i)
@@ -219,9 +218,9 @@
 }
 
 var _ = Describe("A balancer that runs for weeks", func() {
-	// Each replacement of an upstream has an identifier of its own. What is counted at
-	// each would fill the memory of a host that isn't restarted for long.
-	It("forgets upstreams that were replaced, with what it counted there", func() {
+	// Guards against unbounded memory in a balancer that runs for long: each replacement of an
+	// upstream has an identifier of its own, with counts of its own.
+	It("forgets upstreams that were replaced, and their counts", func() {
 		const perRound = 10
 		e := newEngine(nil)
 		now := start
--- a/internal/connection/cookie/evacuation_test.go
+++ b/internal/connection/cookie/evacuation_test.go
@@ -11,18 +11,18 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// twoZones returns an engine with two upstreams in each of two zones.
-func twoZones() (*cookie.Engine, []registry.Registration) {
+// newTwoZoneEngine returns an engine with two upstreams in each of two zones.
+func newTwoZoneEngine() (*cookie.Engine, []registry.Registration) {
 	list := registrations(4)
 	list[2].Zone, list[3].Zone = otherZone, otherZone
 	return newEngine(list), list
 }
 
-// An operator empties a zone before it is switched off. Whatever way still leads a new flow there, its
-// caller is cut off in the middle of a request some minutes later.
+// Guards against new flows that still enter an evacuated zone in some way. The zone is switched off
+// some minutes later, which would break their requests.
 var _ = Describe("A zone that is evacuated", func() {
-	It("gets no new flow, though the others are crowded", func() {
-		e, _ := twoZones()
+	It("gets no new flow, even if the others are overloaded", func() {
+		e, _ := newTwoZoneEngine()
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		for n := range 200 {
 			c := newCaller(n, feedAt)
@@ -32,7 +32,7 @@
 	})
 
 	It("keeps its open flows", func() {
-		e, _ := twoZones()
+		e, _ := newTwoZoneEngine()
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		Expect(u.Route.Zone).To(Equal(ownZone))
@@ -43,15 +43,15 @@
 	})
 
 	It("keeps flows that another balancer opened", func() {
-		e, list := twoZones()
+		e, list := newTwoZoneEngine()
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		c := newCaller(1, feedAt)
 		c.cookie = cookie.Of(list[0].ID)
 		Expect(id(e.Decide(c.request(10), start))).To(Equal(list[0].ID))
 	})
 
-	It("doesn't get the copy of a first packet that went there before", func() {
-		e, _ := twoZones()
+	It("doesn't get the retransmission of a first packet that was sent there before", func() {
+		e, _ := newTwoZoneEngine()
 		c := newCaller(1, feedAt)
 		Expect(e.Decide(c.first(0), start).Upstream.Route.Zone).To(Equal(ownZone))
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
@@ -60,8 +60,8 @@
 		Expect(v.Upstream.Route.Zone).To(Equal(otherZone))
 	})
 
-	It("doesn't get a first packet that the network doubled", func() {
-		e, _ := twoZones()
+	It("doesn't get a first packet that the network duplicated", func() {
+		e, _ := newTwoZoneEngine()
 		c := newCaller(1, feedAt)
 		e.Decide(c.first(0), start)
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
@@ -72,8 +72,8 @@
 		Expect(e.Decide(opened.first(0), start).Action).To(Equal(cookie.ActionDrop))
 	})
 
-	It("gets nothing when the other zone's upstreams are thought dead", func() {
-		e, list := twoZones()
+	It("gets no flow when the other zone's upstreams are found dead", func() {
+		e, list := newTwoZoneEngine()
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		c := newCaller(1, feedAt)
 		c.open(e, start)
@@ -85,7 +85,7 @@
 		Expect(v.Cause).To(Equal(cookie.CauseNoUpstream))
 	})
 
-	It("gets no flow by another's word that it has room", func() {
+	It("gets no flow by a report that it has free capacity", func() {
 		list := registrations(2)
 		list[1].Zone = otherZone
 		e := newEngine(list)
@@ -94,27 +94,27 @@
 			c.open(e, start)
 			e.Decide(c.request(10), start)
 		}
-		room(e, start)
+		reportFreeCapacity(e, start)
 		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start)
 		Expect(e.Decide(newCaller(1, feedAt).first(0), start).Upstream.Route.Zone).To(Equal(ownZone))
 	})
 
-	It("is refused at once where nothing else is left, and served again when it is taken back", func() {
-		e, _ := twoZones()
+	It("has new flows refused immediately if no other zone is left, and gets some again when its evacuation ends", func() {
+		e, _ := newTwoZoneEngine()
 		waiting := newCaller(1, feedAt)
 		e.Decide(waiting.first(0), start)
 		e.SetEvacuatedZones([]bundle.Zone{ownZone, otherZone}, start)
 		Expect(e.Decide(waiting.first(1), start.Add(200*ms)).Action).To(Equal(cookie.ActionReset))
 		Expect(e.Decide(newCaller(2, feedAt).first(0), start).Action).To(Equal(cookie.ActionReset))
-		// One is taken back while the other stays.
+		// One evacuation ends while the other one stays.
 		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start.Add(time.Second))
 		Expect(e.Decide(newCaller(3, feedAt).first(0), start.Add(time.Second)).Upstream.Route.Zone).To(Equal(ownZone))
-		Expect(e.EvacuatedSince(otherZone)).To(Equal(start), "it didn't begin anew")
+		Expect(e.EvacuatedSince(otherZone)).To(Equal(start), "it didn't start again")
 		Expect(e.EvacuatedSince(ownZone).IsZero()).To(BeTrue())
 	})
 
-	It("gets upstreams that start or start again there, and they no flow", func() {
-		e, list := twoZones()
+	It("gets no flow at upstreams that start or restart there", func() {
+		e, list := newTwoZoneEngine()
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		more := registration(9)
 		list[0].StartTime, list[0].Revision = 99, list[0].Revision+1
@@ -124,28 +124,28 @@
 		}
 	})
 
-	It("isn't told as one with room", func() {
-		e, _ := twoZones()
+	It("isn't reported with free capacity", func() {
+		e, _ := newTwoZoneEngine()
 		Expect(e.OwnZoneLoads()).NotTo(BeEmpty())
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		Expect(e.OwnZoneLoads()).To(BeEmpty())
 	})
 
-	It("has no upstream that is connected to as a reference", func() {
-		e, list := twoZones()
+	It("has no upstream that is used as a reference", func() {
+		e, list := newTwoZoneEngine()
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start)
 		e.ReportedDead(u.Route.ID, start.Add(2*time.Second))
 		due := e.DueProbes(start.Add(2 * time.Second))
 		Expect(due).To(HaveLen(1))
-		Expect(due[0].Reference).To(BeNil(), "its own zone is silent: of %d upstreams none is left", len(list))
+		Expect(due[0].Reference).To(BeNil(), "its own zone is silent: none of %d upstreams is left", len(list))
 	})
 
-	// The host's own upstreams of an evacuated zone are left alone, but a caller that waits on an open flow
-	// still learns that its upstream died.
-	It("is probed for the callers that have flows there, and for nobody else", func() {
-		e, list := twoZones()
+	// Upstreams of an evacuated zone aren't probed without need, but a caller with an open flow
+	// must still learn that its upstream died.
+	It("is probed only where callers have flows", func() {
+		e, list := newTwoZoneEngine()
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
--- a/internal/connection/cookie/flow.go
+++ b/internal/connection/cookie/flow.go
@@ -23,7 +23,7 @@
 	// formerIncarnation is set if the upstream seems to have restarted since. The flow doesn't
 	// count in the load until its caller acknowledges new data.
 	formerIncarnation    bool
-	copies               uint32
+	lastCopy             uint32
 	placedAt, lastPacket time.Time
 	// requestedAt is when the first packet of the request in progress arrived.
 	requestedAt time.Time
--- a/internal/connection/cookie/helpers_test.go
+++ b/internal/connection/cookie/helpers_test.go
@@ -14,7 +14,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// objective is that of all routes.
+// objective is the objective of all routes.
 const objective = 150 * time.Millisecond
 
 const (
@@ -28,12 +28,12 @@
 	sheetsAt = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// routing leads feedAt to "feed" and sheetsAt to "sheets", but for those left out.
+// routing routes feedAt to "feed" and sheetsAt to "sheets", except for those left out.
 func routing(v bundle.Version, leaveOut ...netip.AddrPort) *bundle.Routing {
 	return bundle.NewRouting(v, content(leaveOut...), nil)
 }
 
-// content is the bundle of routing.
+// content returns the bundle of routing.
 func content(leaveOut ...netip.AddrPort) *bundle.Bundle {
 	b := &bundle.Bundle{}
 	for name, at := range map[string]netip.AddrPort{"feed": feedAt, "sheets": sheetsAt} {
@@ -55,7 +55,7 @@
 	return b
 }
 
-// routingWith leads feedAt to "feed" and sheetsAt to a service of another name.
+// routingWith routes feedAt to "feed" and sheetsAt to a service of another name.
 func routingWith(v bundle.Version, service string) *bundle.Routing {
 	b := &bundle.Bundle{}
 	for name, at := range map[string]netip.AddrPort{"feed": feedAt, service: sheetsAt} {
@@ -68,7 +68,7 @@
 	return bundle.NewRouting(v, b, nil)
 }
 
-// registration is the nth upstream of "feed" in the own zone.
+// registration returns the nth upstream of "feed" in the own zone.
 func registration(n int) registry.Registration {
 	return registry.Registration{
 		ID: bundle.UpstreamID(0xabc000 + n), Service: "feed", Zone: ownZone, Slots: 2,
@@ -89,9 +89,9 @@
 	return newEngineOf(content(), list)
 }
 
-// newPatientEngine returns an engine whose routes have no objective: no request waits too long, only
-// repeated packets tell of a silent upstream.
-func newPatientEngine(list []registry.Registration) *cookie.Engine {
+// newEngineWithoutObjectives returns an engine whose routes have no objective: no request waits too
+// long, and only retransmitted packets show a silent upstream.
+func newEngineWithoutObjectives(list []registry.Registration) *cookie.Engine {
 	b := content()
 	for i := range b.Routes {
 		b.Routes[i].Objective = 0
@@ -111,23 +111,23 @@
 	return e
 }
 
-// setUpstreams makes a list the registered upstreams.
+// setUpstreams registers the upstreams of a list and deregisters all others.
 func setUpstreams(e *cookie.Engine, list []registry.Registration, now time.Time) []cookie.Reset {
-	listed := make(map[bundle.UpstreamID]bool)
+	registered := make(map[bundle.UpstreamID]bool)
 	var changes []registry.Change
 	for _, r := range list {
-		listed[r.ID] = true
+		registered[r.ID] = true
 		changes = append(changes, registry.Change{Registration: r})
 	}
 	for _, u := range e.Upstreams() {
-		if !listed[u.Route.ID] {
+		if !registered[u.Route.ID] {
 			changes = append(changes, registry.Change{Registration: registry.Registration{ID: u.Route.ID}, Removed: true})
 		}
 	}
 	return e.Update(changes, now)
 }
 
-// caller is one flow of a caller, with what a caller keeps of it.
+// caller is one flow of a caller, with the state that a caller keeps of it.
 type caller struct {
 	key      cookie.Key
 	seq, ack uint32
@@ -144,36 +144,37 @@
 	}
 }
 
-func (c *caller) first(copies uint32) *cookie.Packet {
-	return &cookie.Packet{Key: c.key, Flags: cookie.FlagSYN, Seq: c.seq, Copy: copies}
+// first returns a first packet, after a number of earlier transmissions.
+func (c *caller) first(retransmissions uint32) *cookie.Packet {
+	return &cookie.Packet{Key: c.key, Flags: cookie.FlagSYN, Seq: c.seq, Copy: retransmissions}
 }
 
-// answered takes in an upstream's packet, which bears its cookie.
-func (c *caller) answered(u *cookie.Upstream) { c.cookie = u.Cookie }
+// receiveAnswer receives an upstream's packet, which has its cookie.
+func (c *caller) receiveAnswer(u *cookie.Upstream) { c.cookie = u.Cookie }
 
-// ackPacket acknowledges n bytes more.
+// ackPacket returns a packet that acknowledges n bytes more.
 func (c *caller) ackPacket(n uint32) *cookie.Packet {
 	c.ack += n
 	return &cookie.Packet{Key: c.key, Flags: cookie.FlagACK, Seq: c.seq, Ack: c.ack, Cookie: c.cookie}
 }
 
-// request sends so many bytes; repeated sends the last ones again.
+// request returns a packet with n bytes of data. Sending it again is a retransmission.
 func (c *caller) request(n int) *cookie.Packet {
 	p := &cookie.Packet{Key: c.key, Flags: cookie.FlagACK, Seq: c.seq, Ack: c.ack, Cookie: c.cookie, Length: n}
 	c.seq += uint32(n)
 	return p
 }
 
-// open places a flow and acknowledges the upstream's answer.
+// open opens a flow and acknowledges the upstream's answer.
 func (c *caller) open(e *cookie.Engine, now time.Time) *cookie.Upstream {
 	v := e.Decide(c.first(0), now)
 	ExpectWithOffset(1, v.Action).To(Equal(cookie.ActionForward))
-	c.answered(v.Upstream)
+	c.receiveAnswer(v.Upstream)
 	ExpectWithOffset(1, e.Decide(c.ackPacket(1), now).Upstream).To(Equal(v.Upstream))
 	return v.Upstream
 }
 
-// id returns where a verdict sends the packet, zero if nowhere.
+// id returns the upstream to which a verdict sends the packet, zero if none.
 func id(v cookie.Verdict) bundle.UpstreamID {
 	if v.Action != cookie.ActionForward {
 		return 0
--- a/internal/connection/cookie/index.go
+++ b/internal/connection/cookie/index.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// upstreamIndex finds upstreams by cookie and by service. It is updated by each change and never
+// index finds upstreams by cookie and by service. It is updated by each change and never
 // rebuilt.
-type upstreamIndex struct {
+type index struct {
 	// byCookie holds the upstream that each cookie names, shadowed the upstreams that have the same
 	// cookie and registered later.
 	byCookie map[Cookie]*Upstream
@@ -13,8 +13,8 @@
 	byService map[string][]*Upstream
 }
 
-func newUpstreamIndex() upstreamIndex {
-	return upstreamIndex{
+func newIndex() index {
+	return index{
 		byCookie:  make(map[Cookie]*Upstream),
 		shadowed:  make(map[Cookie][]*Upstream),
 		byService: make(map[string][]*Upstream),
@@ -24,7 +24,7 @@
 // assignCookie makes an upstream's cookie name it, whether the upstream is registered or was
 // deregistered lately. An upstream that registered earlier keeps its cookie if another one has the
 // same: no other upstream can have had it in a flow before. The later one gets no flow for as long.
-func (x *upstreamIndex) assignCookie(u *Upstream) {
+func (x *index) assignCookie(u *Upstream) {
 	first := x.byCookie[u.Cookie]
 	switch {
 	case first == nil || first == u:
@@ -38,14 +38,14 @@
 }
 
 // shadow marks an upstream as one whose cookie names an older upstream.
-func (x *upstreamIndex) shadow(u *Upstream) {
+func (x *index) shadow(u *Upstream) {
 	u.shadowed = true
 	x.shadowed[u.Cookie] = append(x.shadowed[u.Cookie], u)
 }
 
 // releaseCookie makes an upstream's cookie no longer name it. If it named it, the oldest of the
 // upstreams that it shadowed takes the cookie over.
-func (x *upstreamIndex) releaseCookie(u *Upstream) {
+func (x *index) releaseCookie(u *Upstream) {
 	others := slices.DeleteFunc(x.shadowed[u.Cookie], func(o *Upstream) bool { return o == u })
 	if x.byCookie[u.Cookie] == u {
 		delete(x.byCookie, u.Cookie)
@@ -63,14 +63,14 @@
 }
 
 // addToService adds a registered upstream to those of its service.
-func (x *upstreamIndex) addToService(u *Upstream) {
+func (x *index) addToService(u *Upstream) {
 	name := u.Route.Service.Name
 	u.serviceIndex = len(x.byService[name])
 	x.byService[name] = append(x.byService[name], u)
 }
 
 // removeFromService removes an upstream from those of its service. The last one takes its index.
-func (x *upstreamIndex) removeFromService(u *Upstream) {
+func (x *index) removeFromService(u *Upstream) {
 	name := u.Route.Service.Name
 	list := x.byService[name]
 	last := list[len(list)-1]
--- a/internal/connection/cookie/open.go
+++ b/internal/connection/cookie/open.go
@@ -16,11 +16,11 @@
 	if e.isEvacuated(f.upstream) {
 		return e.leaveEvacuatedZone(p, f, r, now)
 	}
-	if f.opened || p.Copy <= f.copies {
+	if f.opened || p.Copy <= f.lastCopy {
 		// The network duplicated or delayed the datagram.
 		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.upstream}
 	}
-	f.copies = p.Copy
+	f.lastCopy = p.Copy
 	f.lastPacket = now
 	// An upstream that answers other flows only lost a packet of this one. Any other may be dead or
 	// at capacity, and waiting for a second retransmission would cost 400 ms more. If no upstream
@@ -42,7 +42,7 @@
 	if f.opened {
 		return Verdict{Cause: CauseEvacuated}
 	}
-	f.copies, f.lastPacket = max(f.copies, p.Copy), now
+	f.lastCopy, f.lastPacket = max(f.lastCopy, p.Copy), now
 	v := e.placeAgain(p, f, r, now)
 	if !e.isEvacuated(f.upstream) {
 		return v
@@ -61,7 +61,7 @@
 		e.requestCounts(service).Refused++
 		return resetVerdict(p, CauseNoUpstream)
 	}
-	f := &flow{upstream: u, copies: p.Copy, placedAt: now, lastPacket: now, ack: p.Ack}
+	f := &flow{upstream: u, lastCopy: p.Copy, placedAt: now, lastPacket: now, ack: p.Ack}
 	e.flows[p.Key] = f
 	u.flowRecords++
 	f.addToLoad()
--- a/internal/connection/cookie/pending.go
+++ b/internal/connection/cookie/pending.go
@@ -51,7 +51,7 @@
 // trackRequest queues a request that arrived now, if its route has an objective.
 func (e *Engine) trackRequest(f *flow, r *bundle.CallerRoute, now time.Time) {
 	if r.Objective > 0 {
-		e.waiting.add(f, suspicionDelay(r.Objective, e.typicalLatency[f.upstream.Route.Service.Name]), now)
+		e.waitQueues.add(f, suspicionDelay(r.Objective, e.typicalLatency[f.upstream.Route.Service.Name]), now)
 	}
 }
 
@@ -68,8 +68,8 @@
 // they weren't seen since. A caller retransmits its request only after 200 ms, when most of a short
 // objective has passed.
 func (e *Engine) suspectWaiting(now time.Time) {
-	for _, delay := range slices.Sorted(maps.Keys(e.waiting)) {
-		queue := e.waiting[delay]
+	for _, delay := range slices.Sorted(maps.Keys(e.waitQueues)) {
+		queue := e.waitQueues[delay]
 		n := 0
 		for ; n < len(queue) && now.Sub(queue[n].requestedAt) >= delay; n++ {
 			f := queue[n].f
@@ -78,9 +78,9 @@
 			}
 		}
 		if n == len(queue) {
-			delete(e.waiting, delay)
+			delete(e.waitQueues, delay)
 		} else {
-			e.waiting[delay] = queue[n:]
+			e.waitQueues[delay] = queue[n:]
 		}
 	}
 }
--- a/internal/connection/cookie/pending_test.go
+++ b/internal/connection/cookie/pending_test.go
@@ -10,28 +10,31 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// hear lets an upstream show a sign of life to a caller.
-func hear(e *cookie.Engine, n int, u bundle.UpstreamID, now time.Time) {
+// seeUpstream makes an upstream show a sign of life to a caller.
+func seeUpstream(e *cookie.Engine, n int, u bundle.UpstreamID, now time.Time) {
 	c := newCaller(n, feedAt)
 	c.cookie = cookie.Of(u)
 	e.Decide(c.request(10), now)
 	e.Decide(c.ackPacket(10), now)
 }
 
-// hearOther lets one of the first three upstreams show a sign of life that isn't the given one.
-func hearOther(e *cookie.Engine, n int, not *cookie.Upstream, now time.Time) {
+// seeOtherUpstream makes one of the first three upstreams other than the given one show a sign of
+// life.
+func seeOtherUpstream(e *cookie.Engine, n int, not *cookie.Upstream, now time.Time) {
 	for _, r := range registrations(3) {
 		if r.ID != not.Route.ID {
-			hear(e, n, r.ID, now)
+			seeUpstream(e, n, r.ID, now)
 			return
 		}
 	}
 }
 
-// An upstream falls silent. Its caller repeats the request only after 200 ms; by the time the upstream is found dead, the
-// objective of 150 ms has passed long ago, and so it has for those whose flows are reset then.
-var _ = Describe("A request that waits for a good part of its objective", func() {
-	// waiting opens a flow, lets another upstream be heard and sends a request at the time that it returns.
+// Guards against missed objectives when an upstream falls silent. Its caller retransmits the
+// request only after 200 ms. If the upstream were suspected only then, the objective of 150 ms
+// would have passed long before the upstream is found dead and its flows are reset.
+var _ = Describe("A request that waits for a large part of its objective", func() {
+	// waiting opens a flow, makes another upstream show a sign of life and sends a request at the
+	// time that it returns.
 	waiting := func(e *cookie.Engine) (*caller, *cookie.Upstream, time.Time) {
 		GinkgoHelper()
 		c := newCaller(1, feedAt)
@@ -42,32 +45,32 @@
 		return c, u, now
 	}
 
-	It("makes its upstream be looked at before the caller repeats it", func() {
+	It("has its upstream probed before the caller retransmits it", func() {
 		e := newEngine(registrations(3))
 		_, u, asked := waiting(e)
-		Expect(e.DueProbes(asked.Add(40*ms))).To(BeEmpty(), "any may take so long")
+		Expect(e.DueProbes(asked.Add(40*ms))).To(BeEmpty(), "any request may take that long")
 		due := e.DueProbes(asked.Add(objective / 2))
 		Expect(due).To(HaveLen(1))
 		Expect(due[0].Upstream.ID).To(Equal(u.Route.ID))
 	})
 
-	It("doesn't if it is answered, or another there is", func() {
+	It("doesn't if it is answered, even if a later one waits", func() {
 		e := newEngine(registrations(3))
 		c, u, asked := waiting(e)
 		e.Decide(c.ackPacket(100), asked.Add(20*ms))
 		Expect(e.DueProbes(asked.Add(objective))).To(BeEmpty())
 		again := asked.Add(400 * ms)
-		hearOther(e, 78, u, again)
+		seeOtherUpstream(e, 78, u, again)
 		e.Decide(c.request(10), again)
-		Expect(e.DueProbes(again.Add(40*ms))).To(BeEmpty(), "the former one is over")
+		Expect(e.DueProbes(again.Add(40*ms))).To(BeEmpty(), "the earlier request has been answered")
 	})
 
-	// The daemon looks at the time late, as on a host that is short of processor time.
-	It("doesn't if its upstream answered another since", func() {
+	// The daemon checks the waiting requests late, as on a host that is short of processor time.
+	It("doesn't if its upstream has answered another flow since", func() {
 		e := newEngine(registrations(3))
 		_, u, asked := waiting(e)
-		hear(e, 77, u.Route.ID, asked.Add(10*ms))
-		hearOther(e, 78, u, asked.Add(290*ms))
+		seeUpstream(e, 77, u.Route.ID, asked.Add(10*ms))
+		seeOtherUpstream(e, 78, u, asked.Add(290*ms))
 		Expect(e.DueProbes(asked.Add(300 * ms))).To(BeEmpty())
 	})
 
@@ -79,11 +82,12 @@
 		e.ProbeDone(u.Route.ID, cookie.ProbeAlive, now, now)
 		e.Decide(c.ackPacket(100), now.Add(10*ms))
 		e.Decide(c.request(10), now.Add(300*ms))
-		Expect(e.DueProbes(now.Add(300*ms+objective))).To(BeEmpty(), "it is busy")
+		Expect(e.DueProbes(now.Add(300*ms+objective))).To(BeEmpty(), "the upstream is busy")
 	})
 
-	// A service whose answers take long is probed for each of its requests, which costs its slots and finds nothing.
-	It("doesn't while it waits no longer than the service's answers usually take", func() {
+	// Guards against a probe for each request of a service whose answers take long. The probes
+	// would take up slots and show nothing.
+	It("doesn't while it waits no longer than is typical for its service", func() {
 		e := newEngine(registrations(3))
 		for n := range 200 {
 			c := newCaller(300+n, feedAt)
@@ -97,12 +101,12 @@
 		openAtOther(e, u, asked)
 		e.Decide(c.request(10), asked)
 		Expect(e.DueProbes(asked.Add(170 * ms))).To(BeEmpty())
-		hearOther(e, 78, u, asked.Add(190*ms))
+		seeOtherUpstream(e, 78, u, asked.Add(190*ms))
 		Expect(e.DueProbes(asked.Add(190 * ms))).To(HaveLen(1))
 	})
 
-	It("doesn't where its route has no objective", func() {
-		e := newPatientEngine(registrations(3))
+	It("doesn't if its route has no objective", func() {
+		e := newEngineWithoutObjectives(registrations(3))
 		_, _, asked := waiting(e)
 		Expect(e.DueProbes(asked.Add(10 * time.Second))).To(BeEmpty())
 	})
--- a/internal/connection/cookie/probe_test.go
+++ b/internal/connection/cookie/probe_test.go
@@ -12,9 +12,9 @@
 
 const ms = time.Millisecond
 
-// doubted opens a flow at some upstream, lets that fall silent while another is
-// heard, and returns the flow, the upstream and the time.
-func doubted(e *cookie.Engine) (*caller, *cookie.Upstream, time.Time) {
+// suspectedUpstream opens a flow at some upstream, which falls silent while another one is seen,
+// and returns the flow, the upstream and the time at which the upstream is suspected.
+func suspectedUpstream(e *cookie.Engine) (*caller, *cookie.Upstream, time.Time) {
 	GinkgoHelper()
 	c := newCaller(1, feedAt)
 	u := c.open(e, start)
@@ -28,10 +28,10 @@
 	return c, u, now
 }
 
-var _ = Describe("An upstream that leaves a repeated packet unanswered", func() {
+var _ = Describe("An upstream that leaves a retransmitted packet unanswered", func() {
 	It("is probed and gets no new flow meanwhile", func() {
-		e := newPatientEngine(registrations(3))
-		_, u, now := doubted(e)
+		e := newEngineWithoutObjectives(registrations(3))
+		_, u, now := suspectedUpstream(e)
 		due := e.DueProbes(now)
 		Expect(due).To(HaveLen(1))
 		Expect(due[0].Upstream.ID).To(Equal(u.Route.ID))
@@ -40,13 +40,13 @@
 		for n := range 20 {
 			Expect(id(e.Decide(newCaller(200+n, feedAt).first(0), now))).NotTo(Equal(u.Route.ID))
 		}
-		Expect(e.DueProbes(now)).To(BeEmpty(), "one at a time")
+		Expect(e.DueProbes(now)).To(BeEmpty(), "only one probe at a time")
 	})
 
 	DescribeTable("is found dead by",
 		func(results []cookie.ProbeResult, dead bool) {
-			e := newPatientEngine(registrations(3))
-			c, u, now := doubted(e)
+			e := newEngineWithoutObjectives(registrations(3))
+			c, u, now := suspectedUpstream(e)
 			resets := make([]cookie.Reset, 0, 1)
 			for _, r := range results {
 				now = now.Add(300 * ms)
@@ -55,30 +55,31 @@
 			}
 			if !dead {
 				Expect(resets).To(BeEmpty())
-				Expect(id(e.Decide(c.request(1), now))).To(Equal(u.Route.ID), "a wrong reset breaks a live flow")
+				Expect(id(e.Decide(c.request(1), now))).To(Equal(u.Route.ID), "a wrong reset would break a live flow")
 				return
 			}
 			Expect(resets).To(Equal([]cookie.Reset{
 				{Key: c.key, Seq: c.ack, Cause: cookie.CauseDead, Upstream: u.Route},
 			}))
 			v := e.Decide(c.request(1), now)
-			Expect(v.Action).To(Equal(cookie.ActionReset), "of later packets too")
+			Expect(v.Action).To(Equal(cookie.ActionReset), "later packets are reset too")
 			Expect(v.Cause).To(Equal(cookie.CauseDead))
 		},
 		Entry("a refused connection", []cookie.ProbeResult{cookie.ProbeRefused}, true),
-		Entry("another that answers at its address", []cookie.ProbeResult{cookie.ProbeOther}, true),
-		Entry("two time-outs", []cookie.ProbeResult{cookie.ProbeTimeout, cookie.ProbeTimeout}, true),
-		Entry("not by one time-out: a connection attempt may be lost", []cookie.ProbeResult{cookie.ProbeTimeout}, false),
+		Entry("another upstream that answers at its address", []cookie.ProbeResult{cookie.ProbeOther}, true),
+		Entry("two timeouts", []cookie.ProbeResult{cookie.ProbeTimeout, cookie.ProbeTimeout}, true),
+		Entry("not by one timeout: a connection attempt may be lost", []cookie.ProbeResult{cookie.ProbeTimeout}, false),
 		Entry("not if the reference was slow too",
 			[]cookie.ProbeResult{cookie.ProbeUnsure, cookie.ProbeUnsure, cookie.ProbeUnsure}, false),
 		Entry("not if it answers", []cookie.ProbeResult{cookie.ProbeTimeout, cookie.ProbeAlive}, false),
 	)
 
-	// An upstream falls silent. Its callers wait until two attempts to connect have timed out;
-	// if the second begins only when the first has, they wait 150 ms more.
-	It("is probed a second time while the first attempt waits, and dead only by both", func() {
-		e := newPatientEngine(registrations(3))
-		c, u, now := doubted(e)
+	// Guards against long waits when an upstream falls silent. Its callers wait until two
+	// connection attempts have timed out. If the second began only after the first, they would wait
+	// 150 ms more.
+	It("is probed a second time while the first attempt waits, and is dead only after both", func() {
+		e := newEngineWithoutObjectives(registrations(3))
+		c, u, now := suspectedUpstream(e)
 		first := now
 		Expect(e.DueProbes(first)).To(HaveLen(1))
 		Expect(e.DueProbes(now.Add(50 * ms))).To(BeEmpty())
@@ -91,9 +92,9 @@
 		Expect(e.Decide(c.request(1), now.Add(350*ms)).Action).To(Equal(cookie.ActionReset))
 	})
 
-	It("lives if the first of two attempts is answered late", func() {
-		e := newPatientEngine(registrations(3))
-		c, u, now := doubted(e)
+	It("is alive if the first of two attempts is answered late", func() {
+		e := newEngineWithoutObjectives(registrations(3))
+		c, u, now := suspectedUpstream(e)
 		Expect(e.DueProbes(now)).To(HaveLen(1))
 		second := now.Add(100 * ms)
 		Expect(e.DueProbes(second)).To(HaveLen(1))
@@ -103,11 +104,11 @@
 		Expect(id(e.Decide(c.request(1), now.Add(360*ms)))).To(Equal(u.Route.ID))
 	})
 
-	// A busy upstream works on a request for longer than 200 ms, so its caller
-	// repeats it; probes wait behind the requests. Its feeds must not be reset.
-	It("lives if a flow hears from it while the probes wait", func() {
-		e := newPatientEngine(registrations(3))
-		c, u, now := doubted(e)
+	// Guards against resets of flows at a busy upstream. It works on a request for longer than 200
+	// ms, so the caller retransmits it, and probes wait behind the requests.
+	It("is alive if it answers a flow while the probes wait", func() {
+		e := newEngineWithoutObjectives(registrations(3))
+		c, u, now := suspectedUpstream(e)
 		for range 3 {
 			e.DueProbes(now)
 			sent := now
@@ -118,10 +119,10 @@
 		Expect(e.Health(u.Route.ID)).To(Equal(cookie.HealthGood))
 	})
 
-	// A host is stopped for four seconds. When it goes on, it finds copies of packets
-	// that callers sent meanwhile and takes live upstreams for dead.
-	It("isn't doubted for what was repeated while the process was paused", func() {
-		e := newPatientEngine(registrations(3))
+	// Guards against suspecting live upstreams after a pause of the host of four seconds. It then
+	// receives retransmissions that callers sent meanwhile.
+	It("isn't suspected for packets that were retransmitted while the process was paused", func() {
+		e := newEngineWithoutObjectives(registrations(3))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		p := c.request(10)
@@ -133,10 +134,10 @@
 		Expect(e.DueProbes(now)).To(BeEmpty())
 	})
 
-	// A host's own link is full. It hears no upstream, doubts every one whose flow
-	// repeats a packet, and has nowhere to place new flows.
-	It("isn't doubted while no upstream is heard", func() {
-		e := newPatientEngine(registrations(3))
+	// Guards against a host that sees no upstream since its own link is full. If it suspected every
+	// upstream whose flow has a retransmitted packet, it could place no new flows.
+	It("isn't suspected while no upstream is seen", func() {
+		e := newEngineWithoutObjectives(registrations(3))
 		c := newCaller(1, feedAt)
 		c.open(e, start)
 		now := start.Add(400 * ms)
@@ -148,7 +149,7 @@
 	})
 
 	It("takes flows again once a probe is answered", func() {
-		e := newPatientEngine(registrations(1))
+		e := newEngineWithoutObjectives(registrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		e.ReportedDead(u.Route.ID, start.Add(2*time.Second))
@@ -157,20 +158,19 @@
 		e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)
 		Expect(e.Decide(newCaller(2, feedAt).first(0), now).Action).To(Equal(cookie.ActionReset))
 		now = now.Add(1100 * ms)
-		Expect(e.DueProbes(now)).To(HaveLen(1), "dead ones are looked at again")
+		Expect(e.DueProbes(now)).To(HaveLen(1), "dead upstreams are probed again")
 		e.ProbeDone(u.Route.ID, cookie.ProbeAlive, now, now)
 		Expect(id(e.Decide(newCaller(3, feedAt).first(0), now))).To(Equal(u.Route.ID))
 	})
 })
 
 var _ = Describe("An upstream that drains", func() {
-	// An upstream closes its health port some milliseconds before it ends its flows. A
-	// balancer whose probe was refused in between reset a feed that was still served,
-	// just before its last answer.
-	DescribeTable("isn't taken for dead by one refused connection", func(leaves bool) {
+	// Guards against a reset just before a flow's last answer. An upstream closes its health port
+	// some milliseconds before it ends its flows, and a probe may be refused in between.
+	DescribeTable("isn't dead after one refused connection", func(leaves bool) {
 		list := registrations(3)
-		e := newPatientEngine(list)
-		c, u, now := doubted(e)
+		e := newEngineWithoutObjectives(list)
+		c, u, now := suspectedUpstream(e)
 		var others []registry.Registration
 		for i := range list {
 			list[i].Draining = list[i].ID == u.Route.ID
@@ -191,16 +191,16 @@
 		Expect(e.DueProbes(now)).To(HaveLen(1))
 		Expect(e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)).To(HaveLen(1))
 	},
-		Entry("while the list has it", false),
-		Entry("after it left the list", true),
+		Entry("while it is registered", false),
+		Entry("after it was deregistered", true),
 	)
 })
 
-var _ = Describe("An upstream that the list no longer has", func() {
-	// An upstream loses its way to the store but not to the balancers. Its entry
-	// lapses, and all its feeds are reset though it serves them.
-	It("keeps its flows if it answers under its own identifier, and gets no new one", func() {
-		e := newPatientEngine(registrations(1))
+var _ = Describe("An upstream that is no longer registered", func() {
+	// Guards against resets of live flows when an upstream can't reach the store, but still reaches
+	// the balancers. Its registration lapses.
+	It("keeps its flows if it answers with its own identifier, and gets no new one", func() {
+		e := newEngineWithoutObjectives(registrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		now := start.Add(time.Second)
@@ -213,10 +213,10 @@
 		Expect(e.Decide(newCaller(2, feedAt).first(0), now).Action).To(Equal(cookie.ActionReset))
 	})
 
-	// An upstream crashes and its address goes to another service. A desk's idle feed
-	// carries a booking to nowhere.
-	It("has its flows reset once another answers at its address", func() {
-		e := newPatientEngine(registrations(1))
+	// Guards against a request on an idle flow that reaches the wrong service: the upstream crashed
+	// and its address went to another service.
+	It("has its flows reset once another upstream answers at its address", func() {
+		e := newEngineWithoutObjectives(registrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		now := start.Add(time.Second)
@@ -229,22 +229,22 @@
 		Expect(v.Cause).To(Equal(cookie.CauseGone))
 	})
 
-	// A balancer restarts after an upstream crashed. It doesn't know the cookie of the
-	// crashed one's flows, and their callers wait for three seconds without a word.
-	It("has its flows reset at once by a balancer that started later and was told", func() {
-		e, c, u := crashed()
+	// Guards against callers that wait for three seconds without a reset, since their balancer
+	// restarted after an upstream crashed and doesn't know the cookie of its flows.
+	It("has its flows reset immediately by a balancer that started later and learned of it", func() {
+		e, c, u := deadUpstream()
 		Expect(e.DeregisteredDead()).To(HaveLen(1))
-		later := newPatientEngine(nil)
+		later := newEngineWithoutObjectives(nil)
 		Expect(later.Decide(c.request(1), start).Action).To(Equal(cookie.ActionDrop))
 		later.LearnDeregisteredDead(e.DeregisteredDead(), start)
 		later.Decide(c.request(1), start)
-		Expect(later.DueProbes(start)).To(HaveLen(1), "it looks for itself")
+		Expect(later.DueProbes(start)).To(HaveLen(1), "it probes the upstream itself")
 		Expect(later.ProbeDone(u.Route.ID, cookie.ProbeOther, start, start)).To(HaveLen(1))
 		Expect(later.Decide(c.request(1), start).Cause).To(Equal(cookie.CauseGone))
 	})
 
 	It("is forgotten after the lifetime of flows", func() {
-		e, c, _ := crashed()
+		e, c, _ := deadUpstream()
 		e.Expire(start.Add(30 * time.Second))
 		Expect(e.Decide(c.request(1), start.Add(30*time.Second)).Cause).To(Equal(cookie.CauseGone))
 		e.Expire(start.Add(2 * time.Minute))
@@ -252,14 +252,14 @@
 	})
 })
 
-var _ = Describe("What is counted of flows", func() {
+var _ = Describe("The load of an upstream", func() {
 	load := func(e *cookie.Engine, u *cookie.Upstream) (flows, requests int64) {
 		l := e.LoadTable.Load(u.Route.ID)
 		return l.Flows.Load(), l.Requests.Load()
 	}
 
-	It("is a flow until it ends, and a request until its answer", func() {
-		e := newPatientEngine(registrations(1))
+	It("includes a flow until it ends, and a request until its answer", func() {
+		e := newEngineWithoutObjectives(registrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		e.Decide(c.request(10), start)
@@ -277,10 +277,10 @@
 		Expect(e.Flows()).To(BeZero())
 	})
 
-	// Routers move all flows when a host joins. What the former balancer counted stays
-	// counted there, and new flows keep away from upstreams that have room.
-	It("no longer counts a flow that other balancers see now", func() {
-		e := newPatientEngine(registrations(1))
+	// Guards against counts that stay with the former balancer when a host joins and routers move
+	// all flows. New flows would avoid upstreams that have free capacity.
+	It("excludes a flow that other balancers see now", func() {
+		e := newEngineWithoutObjectives(registrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		e.Expire(start.Add(4 * time.Second))
@@ -288,14 +288,14 @@
 		Expect(flows).To(BeZero())
 		e.Decide(c.request(1), start.Add(5*time.Second))
 		flows, _ = load(e, u)
-		Expect(flows).To(Equal(int64(1)), "it came back")
+		Expect(flows).To(Equal(int64(1)), "the flow came back")
 	})
 })
 
-// crashed returns a balancer that has found its only upstream dead, a caller with a flow
-// there, and that upstream.
-func crashed() (*cookie.Engine, *caller, *cookie.Upstream) {
-	e := newPatientEngine(registrations(1))
+// deadUpstream returns a balancer that has found its only upstream dead after that was
+// deregistered, a caller with a flow there, and the upstream.
+func deadUpstream() (*cookie.Engine, *caller, *cookie.Upstream) {
+	e := newEngineWithoutObjectives(registrations(1))
 	c := newCaller(1, feedAt)
 	u := c.open(e, start)
 	setUpstreams(e, nil, start)
--- a/internal/connection/cookie/region_test.go
+++ b/internal/connection/cookie/region_test.go
@@ -8,11 +8,12 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// A route's requests may be answered in one region only, as its contract says. If an upstream elsewhere runs
-// one, for want of another or by a repeated packet, data has left the region for good.
+// Guards against breaches of a contract by which a route's requests are answered in one region
+// only. If an upstream elsewhere runs one, for want of another upstream or due to a retransmitted
+// packet, data has left the region permanently.
 var _ = Describe("A route that is bound to regions", func() {
-	// boundEngine returns an engine with an upstream in each of two zones of two regions, whose routes may use the
-	// named regions.
+	// boundEngine returns an engine with an upstream in each of two zones in two regions. Its
+	// routes may use only the given regions.
 	boundEngine := func(regions ...bundle.Region) *cookie.Engine {
 		GinkgoHelper()
 		list := registrations(2)
@@ -27,7 +28,7 @@
 		return e
 	}
 
-	It("sends new flows there alone, also to another zone than the own", func() {
+	It("sends new flows only there, even to another zone than the own one", func() {
 		e := boundEngine("south")
 		for n := range 50 {
 			c := newCaller(n, feedAt)
@@ -36,7 +37,7 @@
 		}
 	})
 
-	It("refuses what can't be served there at once", func() {
+	It("immediately refuses flows that can't be served there", func() {
 		e := boundEngine("south")
 		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start)
 		v := e.Decide(newCaller(1, feedAt).first(0), start)
@@ -44,7 +45,7 @@
 		Expect(v.Cause).To(Equal(cookie.CauseNoUpstream))
 	})
 
-	It("doesn't send a copy of a first packet elsewhere", func() {
+	It("doesn't send the retransmission of a first packet elsewhere", func() {
 		e := boundEngine("south")
 		c := newCaller(1, feedAt)
 		dead := e.Decide(c.first(0), start).Upstream
--- a/internal/connection/cookie/requests_test.go
+++ b/internal/connection/cookie/requests_test.go
@@ -39,7 +39,7 @@
 		Expect(counts()).To(Equal(cookie.Requests{InTime: 1}))
 	})
 
-	It("have failed if their caller gives them up", func() {
+	It("have failed if their caller cancels them", func() {
 		p := c.ackPacket(0)
 		p.Flags |= cookie.FlagRST
 		e.Decide(p, start.Add(time.Second))
@@ -51,10 +51,10 @@
 		Expect(counts()).To(Equal(cookie.Requests{Failed: 1}))
 	})
 
-	// Routers move a flow to another balancer while a request is in progress. This one
-	// sees no answer; to call that a failure would make each rolling restart burn the
-	// objective of every service.
-	It("are unknown without an answer, and late if one comes after all", func() {
+	// Guards against counting requests as failed when routers move their flow to another balancer.
+	// This balancer sees no answer, and each rolling restart would violate the objective of every
+	// service.
+	It("are unknown without an answer, and late if one arrives afterwards", func() {
 		e.Expire(start.Add(2 * time.Second))
 		Expect(counts()).To(Equal(cookie.Requests{Unknown: 1}))
 		e.Decide(c.ackPacket(500), start.Add(3*time.Second))
--- a/internal/connection/cookie/upstream.go
+++ b/internal/connection/cookie/upstream.go
@@ -70,14 +70,14 @@
 	incarnationSeen time.Time
 	// warmingUntil is when the upstream is no longer slow after its start.
 	warmingUntil time.Time
-	warmupSends  sendTimes
+	sendTimes    sendTimes
 	// registered is set while the upstream is registered; deregisteredAt is since when it isn't.
 	registered     bool
 	deregisteredAt time.Time
 	// mismatched is the present registration if it names a service that no bundle names, while the
 	// upstream was known as one of another service.
 	mismatched *registry.Registration
-	// serviceIndex is its index among the registered upstreams of its service, see upstreamIndex.
+	// serviceIndex is its index among the registered upstreams of its service, see index.
 	serviceIndex int
 	// shadowed is set if an older upstream has the same cookie. The upstream gets no flow: packets
 	// of the two couldn't be told apart.
--- a/internal/connection/cookie/warmup.go
+++ b/internal/connection/cookie/warmup.go
@@ -41,12 +41,12 @@
 	if e.opts.WarmupLimiter == nil {
 		return false
 	}
-	return u.warmupSends.allows(e.opts.WarmupLimiter.Share(u.Route.ID, rate), now)
+	return u.sendTimes.allows(e.opts.WarmupLimiter.Share(u.Route.ID, rate), now)
 }
 
 // recordWarmupFlow notes that a new flow was placed at an upstream, if its warm-up limits them.
 func (e *Engine) recordWarmupFlow(u *Upstream, now time.Time) {
 	if u.Route.Service.WarmupRate > 0 && now.Before(u.warmingUntil) {
-		u.warmupSends.add(now)
+		u.sendTimes.add(now)
 	}
 }
--- a/internal/connection/cookie/warmup_test.go
+++ b/internal/connection/cookie/warmup_test.go
@@ -13,17 +13,18 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// fixedShare is a WarmupLimiter that allows so many a second.
+// fixedShare is a WarmupLimiter that always allows the same number of flows a second.
 type fixedShare int
 
 func (f fixedShare) Share(bundle.UpstreamID, float64) int { return int(f) }
 
-// A zone is taken back. Its upstreams are cold and bear a few requests a second each; what is sent beyond that is
-// answered late or not at all, though other upstreams have room.
+// Guards against overloaded upstreams when the evacuation of a zone ends. Its upstreams have just
+// started and can handle a few requests a second each; requests beyond that are answered late or
+// not at all, though other upstreams have free capacity.
 var _ = Describe("An upstream that is slow after its start", func() {
 	const slowFor = 3 * time.Second
-	// slowEngine returns an engine whose service bears 20 flows a second at each slow upstream, and whose share of
-	// that is given. The first of its upstreams is slow.
+	// slowEngine returns an engine whose service allows 20 flows a second at each slow upstream, of
+	// which the limiter gives the share of this balancer. The first of its upstreams is slow.
 	slowEngine := func(w cookie.WarmupLimiter, list []registry.Registration) *cookie.Engine {
 		GinkgoHelper()
 		list[0].Warmup = slowFor
@@ -39,7 +40,8 @@
 		e.ConfirmRegistrations(start)
 		return e
 	}
-	// placed returns how many of so many flows that come each 10 ms from a time on the upstream gets.
+	// placed opens n flows, one each 10 ms from a time on, and returns how many of them the
+	// upstream gets.
 	placed := func(e *cookie.Engine, n int, from time.Time, u bundle.UpstreamID) int {
 		got := 0
 		for i := range n {
@@ -56,8 +58,8 @@
 		Expect(placed(e, 90, start, list[0].ID)).To(BeNumerically("<=", 4))
 	})
 
-	// Guards against upstreams that count as slow again since the store was restored from a snapshot and gave their entries new
-	// positions.
+	// Guards against upstreams that count as slow again after the store was restored from a
+	// snapshot, which gives their entries new positions.
 	It("isn't slow again when its entry only has another position", func() {
 		list := registrations(2)
 		e := slowEngine(fixedShare(4), list)
@@ -72,7 +74,7 @@
 		Expect(placed(e, 90, warm, list[0].ID)).To(BeNumerically(">", 20))
 	})
 
-	It("gets its load as others do once it isn't slow any more", func() {
+	It("gets as many flows as others once it is no longer slow", func() {
 		list := registrations(2)
 		e := slowEngine(fixedShare(4), list)
 		Expect(placed(e, 90, start.Add(slowFor), list[0].ID)).To(BeNumerically(">", 30))
@@ -86,7 +88,7 @@
 		}
 	})
 
-	It("isn't used beyond that for want of another: the caller is refused at once", func() {
+	It("gets no flows beyond that even if there is no other: the caller is refused immediately", func() {
 		list := registrations(1)
 		e := slowEngine(fixedShare(2), list)
 		Expect(placed(e, 50, start, list[0].ID)).To(Equal(2))
--- a/internal/connection/cookie/zonehealth.go
+++ b/internal/connection/cookie/zonehealth.go
@@ -34,10 +34,10 @@
 
 // zoneHealthOf returns the health of a zone and creates it at first use.
 func (e *Engine) zoneHealthOf(z bundle.Zone) *zoneHealth {
-	h := e.zoneHealth[z]
+	h := e.healthByZone[z]
 	if h == nil {
 		h = &zoneHealth{}
-		e.zoneHealth[z] = h
+		e.healthByZone[z] = h
 	}
 	return h
 }
--- a/internal/connection/cookie/zonehealth_test.go
+++ b/internal/connection/cookie/zonehealth_test.go
@@ -12,12 +12,12 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// silentZone is an engine of whose own zone's four upstreams nobody answers any more, with a caller at each, and one of
-// another zone to which no flow goes.
+// silentZone is an engine whose own zone has four upstreams that no longer answer, with a caller at
+// each, and whose other zone has one upstream without flows.
 type silentZone struct {
 	*cookie.Engine
 	callers []*caller
-	// now is when the callers have repeated their requests.
+	// now is when the callers have retransmitted their requests.
 	now time.Time
 }
 
@@ -28,7 +28,7 @@
 	for i := range list {
 		list[i].StartTime = 1
 	}
-	z := &silentZone{Engine: newPatientEngine(list), now: start.Add(time.Second)}
+	z := &silentZone{Engine: newEngineWithoutObjectives(list), now: start.Add(time.Second)}
 	at := make(map[bundle.UpstreamID]bool)
 	for n := 0; len(at) < 4; n++ {
 		c := newCaller(n, feedAt)
@@ -45,51 +45,51 @@
 	return z
 }
 
-// checkElsewhere lets the check that is due be answered.
-func (z *silentZone) checkElsewhere(accepted bool) {
+// answerCheck reports the result of the check that is due.
+func (z *silentZone) answerCheck(accepted bool) {
 	GinkgoHelper()
 	due := z.DueProbes(z.now)
-	Expect(due).To(HaveLen(1), "nobody is doubted before")
+	Expect(due).To(HaveLen(1), "no upstream is suspected before")
 	Expect(due[0].Check).To(BeTrue())
 	Expect(due[0].Upstream.Zone).To(Equal(otherZone))
 	z.CheckDone(accepted, z.now)
 }
 
-// All upstreams of a zone lose power at once. A host of that zone hears nobody any more, as if its own link were full;
-// it goes on placing flows there, and its callers wait until their patience ends.
-var _ = Describe("A host that hears no upstream", func() {
-	It("doubts some of its zone's once an upstream of another zone accepts a connection", func() {
+// Guards against a host that places flows in its own zone after all upstreams there lost power. It
+// sees no upstream, as if its own link were full, and its callers would wait until they give up.
+var _ = Describe("A host that sees no upstream", func() {
+	It("suspects some of its zone once an upstream of another zone accepts a connection", func() {
 		z := newSilentZone()
-		z.checkElsewhere(true)
+		z.answerCheck(true)
 		due := z.DueProbes(z.now)
 		Expect(due).To(HaveLen(3))
 		for _, p := range due {
 			Expect(p.Upstream.Zone).To(Equal(ownZone))
-			Expect(p.Reference.Zone).To(Equal(otherZone), "one of the own zone would be as silent")
+			Expect(p.Reference.Zone).To(Equal(otherZone), "an upstream of the own zone would be as silent")
 		}
 	})
 
 	It("places new flows in another zone from then on", func() {
 		z := newSilentZone()
-		z.checkElsewhere(true)
+		z.answerCheck(true)
 		for n := range 50 {
 			Expect(z.Decide(newCaller(100+n, feedAt).first(0), z.now).Upstream.Route.Zone).To(Equal(otherZone))
 		}
 	})
 
-	It("doubts nobody if that one doesn't accept it either, and asks again a little later", func() {
+	It("suspects none if that upstream doesn't accept it either, and checks again later", func() {
 		z := newSilentZone()
-		z.checkElsewhere(false)
+		z.answerCheck(false)
 		Expect(z.DueProbes(z.now)).To(BeEmpty())
 		Expect(z.Decide(newCaller(100, feedAt).first(0), z.now).Upstream.Route.Zone).To(Equal(ownZone))
 		z.now = z.now.Add(300 * ms)
 		p := z.callers[0].request(0)
 		p.Seq, p.Length = p.Seq-10, 10
 		z.Decide(p, z.now)
-		z.checkElsewhere(true)
+		z.answerCheck(true)
 	})
 
-	It("asks nobody once it hears one, of whatever zone", func() {
+	It("checks none once it sees one, in whatever zone", func() {
 		for _, at := range []bundle.UpstreamID{registration(1).ID, registration(5).ID} {
 			z := newSilentZone()
 			c := newCaller(99, feedAt)
@@ -101,21 +101,22 @@
 	})
 })
 
-// The probes of several upstreams of one zone are left open at once. Until each has timed out twice, its callers wait,
-// and others send requests on idle flows there which nobody may repeat.
-var _ = Describe("Upstreams that leave connections open together", func() {
-	// probed returns the upstreams of a zone whose probes have been under way for a while.
-	probed := func(z *silentZone) []cookie.Probe {
+// Guards against long waits when several upstreams of one zone fall silent together. Until two
+// probes of each had timed out, its callers would wait, and others would send requests on idle
+// flows there that can't be repeated.
+var _ = Describe("Upstreams that leave connections unaccepted together", func() {
+	// probeSuspects makes the upstreams of the zone suspects and returns the probes that are sent.
+	probeSuspects := func(z *silentZone) []cookie.Probe {
 		GinkgoHelper()
-		z.checkElsewhere(true)
+		z.answerCheck(true)
 		due := z.DueProbes(z.now)
 		Expect(due).To(HaveLen(3))
 		return due
 	}
 
-	It("are dead at once, and the zone's others are looked at", func() {
+	It("are dead immediately, and the zone's others are probed", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		now := sent.Add(60 * ms)
 		ended := make(map[bundle.UpstreamID]bool)
 		for i, p := range due {
@@ -125,27 +126,27 @@
 				ended[r.Upstream.ID] = true
 			}
 		}
-		Expect(ended).To(HaveLen(3), "their callers are told")
+		Expect(ended).To(HaveLen(3), "their callers get a reset")
 		next := z.DueProbes(now)
-		Expect(next).To(HaveLen(1), "the fourth has a caller too")
+		Expect(next).To(HaveLen(1), "the fourth upstream has a caller too")
 		found, _ := z.ProbePending(next[0].Upstream.ID, now, now.Add(60*ms))
-		Expect(found).To(HaveLen(1), "it is no exception")
+		Expect(found).To(HaveLen(1), "one unaccepted connection is enough for it too")
 	})
 
-	It("aren't dead by it if one of their zone is heard meanwhile", func() {
+	It("aren't dead if an upstream of their zone is seen meanwhile", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		z.Decide(z.callers[0].ackPacket(10), sent.Add(10*ms))
 		for _, p := range due {
 			found, resets := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
-			Expect(resets).To(BeEmpty(), "a live flow would break")
+			Expect(resets).To(BeEmpty(), "a reset would break a live flow")
 		}
 	})
 
-	It("aren't dead by it if one of them accepts a probe meanwhile", func() {
+	It("aren't dead if one of them accepts a probe meanwhile", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		z.ProbeDone(due[0].Upstream.ID, cookie.ProbeAlive, sent, sent.Add(10*ms))
 		for _, p := range due[1:] {
 			found, _ := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
@@ -163,9 +164,9 @@
 		return 0
 	}
 
-	It("aren't dead by it if another of their zone is heard meanwhile", func() {
+	It("aren't dead if another upstream of their zone is seen meanwhile", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		c := newCaller(99, feedAt)
 		c.cookie = cookie.Of(fourth(due))
 		z.Decide(c.request(10), sent)
@@ -176,9 +177,9 @@
 		}
 	})
 
-	It("aren't dead by it if another of their zone accepts a probe meanwhile", func() {
+	It("aren't dead if another upstream of their zone accepts a probe meanwhile", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		z.ReportedDead(fourth(due), sent)
 		Expect(z.DueProbes(sent)).To(HaveLen(1))
 		z.ProbeDone(fourth(due), cookie.ProbeAlive, sent, sent.Add(10*ms))
@@ -188,9 +189,9 @@
 		}
 	})
 
-	It("aren't dead by it if their references were slow too", func() {
+	It("aren't dead if their references were slow too", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		for _, p := range due[:2] {
 			z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			z.ProbeDone(p.Upstream.ID, cookie.ProbeUnsure, sent, sent.Add(250*ms))
@@ -199,17 +200,17 @@
 		Expect(found).To(BeEmpty())
 	})
 
-	// A rolling replacement ends several upstreams at once, and others of the zone are busy.
-	It("aren't dead by it if they left the list", func() {
+	// A rolling replacement ends several upstreams together, while others of the zone are busy.
+	It("aren't dead if one of them was deregistered", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
-		left := registrations(5)
-		left[4].Zone = otherZone
-		left = slices.DeleteFunc(left, func(r registry.Registration) bool { return r.ID == due[0].Upstream.ID })
-		for i := range left {
-			left[i].StartTime = 1
+		due, sent := probeSuspects(z), z.now
+		remaining := registrations(5)
+		remaining[4].Zone = otherZone
+		remaining = slices.DeleteFunc(remaining, func(r registry.Registration) bool { return r.ID == due[0].Upstream.ID })
+		for i := range remaining {
+			remaining[i].StartTime = 1
 		}
-		setUpstreams(z.Engine, left, sent)
+		setUpstreams(z.Engine, remaining, sent)
 		z.DueProbes(sent)
 		for _, p := range due {
 			found, resets := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
@@ -218,18 +219,18 @@
 		}
 	})
 
-	It("have two time-outs each if they are too few, as any has", func() {
+	It("need two timeouts each if they are too few", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		for _, p := range due[:2] {
 			found, _ := z.ProbePending(p.Upstream.ID, sent, sent.Add(60*ms))
 			Expect(found).To(BeEmpty())
 		}
 	})
 
-	It("say nothing of an incarnation that started since", func() {
+	It("don't affect an incarnation that started since", func() {
 		z := newSilentZone()
-		due, sent := probed(z), z.now
+		due, sent := probeSuspects(z), z.now
 		again := registrations(5)
 		again[4].Zone = otherZone
 		for i := range again[:4] {
@@ -243,12 +244,13 @@
 	})
 })
 
-// A fifth of the upstreams falls silent while the others are heard. Each is found dead for itself; a half a second longer is
-// half a second in which callers send requests on idle flows there that nobody may repeat.
-var _ = Describe("An upstream that leaves two connections open in a row", func() {
-	It("is dead by the second, which begins when the first is left open", func() {
-		e := newPatientEngine(registrations(3))
-		c, u, now := doubted(e)
+// Guards against slow detection when a fifth of the upstreams falls silent while others are seen.
+// Each is found dead by its own probes. For half a second longer, callers would send requests on
+// idle flows there that can't be repeated.
+var _ = Describe("An upstream that leaves two connections in a row unaccepted", func() {
+	It("is dead after the second, which begins once the first is reported as pending", func() {
+		e := newEngineWithoutObjectives(registrations(3))
+		c, u, now := suspectedUpstream(e)
 		Expect(e.DueProbes(now)).To(HaveLen(1))
 		found, _ := e.ProbePending(u.Route.ID, now, now.Add(60*ms))
 		Expect(found).To(BeEmpty())
@@ -260,9 +262,9 @@
 		Expect(e.Decide(c.request(1), second.Add(60*ms)).Action).To(Equal(cookie.ActionReset))
 	})
 
-	It("lives if a flow heard from it meanwhile", func() {
-		e := newPatientEngine(registrations(3))
-		c, u, now := doubted(e)
+	It("is alive if it answers a flow meanwhile", func() {
+		e := newEngineWithoutObjectives(registrations(3))
+		c, u, now := suspectedUpstream(e)
 		e.DueProbes(now)
 		e.ProbePending(u.Route.ID, now, now.Add(60*ms))
 		second := now.Add(60 * ms)
@@ -273,10 +275,10 @@
 		Expect(e.Health(u.Route.ID)).To(Equal(cookie.HealthGood))
 	})
 
-	It("lives on if it left the list: it may be on its way out, with flows that it serves", func() {
+	It("isn't dead if it was deregistered: it may be shutting down while it still serves flows", func() {
 		list := registrations(3)
-		e := newPatientEngine(list)
-		_, u, now := doubted(e)
+		e := newEngineWithoutObjectives(list)
+		_, u, now := suspectedUpstream(e)
 		setUpstreams(e, slices.DeleteFunc(list, func(r registry.Registration) bool { return r.ID == u.Route.ID }), now)
 		for range 3 {
 			e.DueProbes(now)
@@ -286,13 +288,13 @@
 		}
 	})
 
-	It("lives if they were its former incarnation's", func() {
+	It("isn't dead if the connections were to its former incarnation", func() {
 		list := registrations(3)
 		for i := range list {
 			list[i].StartTime = 1
 		}
-		e := newPatientEngine(list)
-		_, u, now := doubted(e)
+		e := newEngineWithoutObjectives(list)
+		_, u, now := suspectedUpstream(e)
 		e.DueProbes(now)
 		for i := range list {
 			if list[i].ID == u.Route.ID {
@@ -309,10 +311,10 @@
 	})
 
 	// It closes its health port some milliseconds before it ends its flows.
-	It("lives on if it drains", func() {
+	It("isn't dead if it drains", func() {
 		list := registrations(3)
-		e := newPatientEngine(list)
-		_, u, now := doubted(e)
+		e := newEngineWithoutObjectives(list)
+		_, u, now := suspectedUpstream(e)
 		for i := range list {
 			list[i].Draining = list[i].ID == u.Route.ID
 			list[i].Revision += 10
