--- a/internal/connection/cookie/cause.go
+++ b/internal/connection/cookie/cause.go
@@ -23,7 +23,7 @@
 	// CauseNoUpstream: no upstream of the service can take the flow.
 	CauseNoUpstream
 	// CauseGone: the flow's upstream is deregistered and was found dead, or its cookie has named no
-	// known upstream for longer than unknownGrace.
+	// known upstream for at least unknownGrace.
 	CauseGone
 	// CauseDead: the flow's upstream refuses connections or doesn't answer.
 	CauseDead
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -22,8 +22,8 @@
 	// a warm-up rate.
 	WarmupLimiter WarmupLimiter
 	// FlowLifetime is how long a deregistered upstream without flow records is remembered, so that
-	// callers of its flows are reset immediately. Cookies of unknown upstreams are remembered as
-	// long.
+	// callers of its flows are reset immediately. Cookies of unknown upstreams are remembered for
+	// as long.
 	FlowLifetime time.Duration
 	// OnAnswered is called with the time from a request's first packet to the first acknowledgement
 	// of its answer. It may be nil.
--- a/internal/connection/cookie/established.go
+++ b/internal/connection/cookie/established.go
@@ -81,8 +81,9 @@
 	return Verdict{Action: ActionForward, Upstream: u}
 }
 
-// decideUnknownCookie decides on a packet whose cookie names no known upstream. It resets the flow only if the
-// registrations were complete at a time more than unknownGrace after the cookie was first seen.
+// decideUnknownCookie decides on a packet whose cookie names no known upstream. It resets the flow
+// only if the registrations were complete at a time at least unknownGrace after the cookie was
+// first seen.
 func (e *Engine) decideUnknownCookie(p *Packet, now time.Time) Verdict {
 	firstSeen, ok := e.unknownCookies[p.Cookie]
 	if !ok {
--- a/internal/connection/cookie/pending.go
+++ b/internal/connection/cookie/pending.go
@@ -64,9 +64,9 @@
 	e.typicalLatency[service] = typical + time.Duration(typicalLatencySmoothing*float64(took-typical))
 }
 
-// suspectWaiting reports the upstreams of requests that have waited too long as unanswering, if
-// they weren't seen since. A caller retransmits its request only after 200 ms, when most of a short
-// objective has passed.
+// suspectWaiting calls noteUnanswered for the upstreams of requests that have waited too long,
+// unless the upstream was seen since the request arrived. A caller retransmits its request only
+// after 200 ms, when most of a short objective has passed.
 func (e *Engine) suspectWaiting(now time.Time) {
 	for _, delay := range slices.Sorted(maps.Keys(e.waitQueues)) {
 		queue := e.waitQueues[delay]
--- a/internal/connection/cookie/probe.go
+++ b/internal/connection/cookie/probe.go
@@ -21,8 +21,8 @@
 	return cmp.Compare(a.Route.ID, b.Route.ID)
 }
 
-// upstreamRoute returns the route of a registration. If no bundle names its service yet, the route
-// has a service without settings, and no flows lead to it.
+// upstreamRoute returns the route of a registration. If no bundle names its service yet, the
+// service has only a name and the default number of connections, and no flows lead to it.
 func (e *Engine) upstreamRoute(r *registry.Registration) *bundle.UpstreamRoute {
 	s := &bundle.ServiceRoute{Name: r.Service, Connections: defaultConnections}
 	if e.routing != nil {
--- a/internal/connection/cookie/upstream.go
+++ b/internal/connection/cookie/upstream.go
@@ -17,8 +17,9 @@
 	// HealthSuspect: packets went unanswered, so the upstream gets no new flow until a probe or a
 	// packet shows that it is alive.
 	HealthSuspect
-	// HealthDead: a probe was refused or answered by another upstream, or two probes went
-	// unanswered. The flows of the upstream are reset.
+	// HealthDead: a probe was refused or answered by another upstream, two probes went unanswered,
+	// or the upstream fell silent together with others of its zone (see Engine.ProbePending). A
+	// draining upstream must refuse two probes. The flows of a dead upstream are reset.
 	HealthDead
 )
 
@@ -41,8 +42,8 @@
 	// inconclusiveRetry is the time until the next probe or check after one that showed nothing.
 	inconclusiveRetry = 250 * time.Millisecond
 	// drainReprobeDelay is the time between the two refusals that show a draining upstream to be
-	// dead. It closes its health port, and may be deregistered, some milliseconds before it ends
-	// its flows; a reset in between would cut off a flow that is still served.
+	// dead. A draining upstream closes its health port, and may be deregistered, some milliseconds
+	// before it ends its flows; a reset in between would cut off a flow that is still served.
 	drainReprobeDelay = 300 * time.Millisecond
 	// maxTimeouts is how many probes in a row must time out before an upstream is dead: a single
 	// connection attempt may be lost on the way.
@@ -173,8 +174,8 @@
 	// ProbeTimeout: the connection wasn't accepted in time, while another upstream
 	// accepted one quickly.
 	ProbeTimeout
-	// ProbeUnsure: the probe showed nothing, since the reference didn't accept a connection quickly
-	// either.
+	// ProbeUnsure: the probe failed and showed nothing, since no reference accepted a connection
+	// quickly.
 	ProbeUnsure
 )
 
--- a/internal/connection/cookie/zonehealth.go
+++ b/internal/connection/cookie/zonehealth.go
@@ -90,9 +90,9 @@
 	return Probe{Upstream: r, Check: true}, true
 }
 
-// CheckDone reports whether the upstream of a Probe with Check set accepted a connection quickly.
-// If it did, the fault isn't on this host's side, and the upstreams that left packets unanswered
-// become suspects.
+// CheckDone applies the result of a Probe with Check set: whether its upstream accepted a
+// connection quickly. If it did, the fault isn't on this host's side, and the upstreams that left
+// packets unanswered become suspects.
 func (e *Engine) CheckDone(accepted bool, now time.Time) {
 	suspects := e.pendingSuspects
 	e.pendingSuspects = nil
@@ -108,7 +108,7 @@
 	}
 }
 
-// ProbePending reports that a probe that was sent at a time isn't accepted yet, though its
+// ProbePending notes that a probe that was sent at a time isn't accepted yet, though its
 // reference accepted a connection quickly. It returns the upstreams that are found dead by it, and
 // resets for their flows.
 //
