--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -17,44 +17,47 @@
 	Regions map[bundle.Zone]bundle.Region
 	// Policy chooses upstreams for new flows.
 	Policy upstream.Policy
-	// WarmupLimiter says what this balancer may send to upstreams that are slow after their start. Without one it sends
-	// nothing to those whose service bounds that.
+	// WarmupLimiter limits the flows that this balancer sends to upstreams that are slow after
+	// their start. If it is nil, the engine sends no flows to such upstreams of a service that has
+	// a warm-up rate.
 	WarmupLimiter WarmupLimiter
-	// FlowLifetime is how long the memory of an upstream that went is kept, so that
-	// the callers of its flows are told at once.
+	// FlowLifetime is how long a deregistered upstream without flow records is remembered, so that
+	// callers of its flows are reset immediately. Cookies of unknown upstreams are remembered for
+	// as long.
 	FlowLifetime time.Duration
-	// OnAnswered is called with the time from a request's first packet to the first
-	// acknowledgement of its answer. It may be nil.
+	// OnAnswered is called with the time from a request's first packet to the first acknowledgement
+	// of its answer. It may be nil.
 	OnAnswered func(took time.Duration)
 }
 
-// Engine decides for each packet. It isn't safe for concurrent use.
+// Engine decides what is done with each packet. It isn't safe for concurrent use.
 type Engine struct {
 	opts      Options
 	routing   *bundle.Routing
 	upstreams map[bundle.UpstreamID]*Upstream
-	table     table
+	index     index
 	flows     map[Key]*flow
-	// unknown holds when cookies of upstreams that aren't known were first seen.
-	unknown map[Cookie]time.Time
-	// confirmed is the time at which the list was last known to be complete.
-	confirmed time.Time
-	steady    steadiness
-	// heard is when any upstream last showed a sign of life.
-	heard time.Time
-	// unsure are upstreams that left packets unanswered while nobody was heard, nextCheck when it may next be
-	// found out whose trouble that is.
-	unsure    []*Upstream
-	nextCheck time.Time
-	waits     waits
-	// usual is how long answers of each service usually take.
-	usual map[string]time.Duration
-	// turned is when the windows of outcomes last turned.
-	turned  time.Time
-	busy    map[string]busyness
-	zones   map[zoneService]zoneLoad
-	reaches map[bundle.Zone]*reach
-	// evacuated holds since when zones are evacuated.
+	// unknownCookies holds when each cookie that names no known upstream was first seen.
+	unknownCookies map[Cookie]time.Time
+	// confirmed is the latest time at which the registrations were known to be complete.
+	confirmed     time.Time
+	confirmations confirmationRun
+	// lastSeen is when any upstream last showed a sign of life.
+	lastSeen time.Time
+	// pendingSuspects are upstreams that left packets unanswered while no upstream at all was seen.
+	// nextCheck is the earliest time at which the next check may show whether the fault is on this
+	// host's side.
+	pendingSuspects []*Upstream
+	nextCheck       time.Time
+	waitQueues      waitQueues
+	// typicalLatency is the smoothed time in which requests of each service are answered.
+	typicalLatency map[string]time.Duration
+	// outcomesRotatedAt is when the windows of request outcomes were last rotated.
+	outcomesRotatedAt time.Time
+	activity          map[string]flowActivity
+	zoneLoads         map[zoneService]zoneLoad
+	healthByZone      map[bundle.Zone]*zoneHealth
+	// evacuated holds since when each evacuated zone is evacuated.
 	evacuated  map[bundle.Zone]time.Time
 	candidates []upstream.Candidate
 	requests   map[string]*Requests
@@ -62,17 +65,18 @@
 	Counters   Counters
 }
 
-// Counters count decisions by their cause.
+// Counters count decisions by cause.
 type Counters struct {
 	Forwarded [NumCauses]uint64
 	Reset     [NumCauses]uint64
 	Dropped   [NumCauses]uint64
-	// Restarts counts upstreams that seem to have started again.
+	// Restarts counts upstreams that seem to have restarted.
 	Restarts uint64
 }
 
-// idleDefault is when a flow is forgotten if no service says otherwise.
-const idleDefault = time.Minute
+// defaultIdleTimeout is how long a flow without packets is remembered if its service sets no idle
+// timeout.
+const defaultIdleTimeout = time.Minute
 
 // NewEngine returns an engine without routes and upstreams.
 func NewEngine(o Options) *Engine {
@@ -80,22 +84,22 @@
 		o.OnAnswered = func(time.Duration) {}
 	}
 	return &Engine{
-		opts:      o,
-		upstreams: make(map[bundle.UpstreamID]*Upstream),
-		table:     newTable(),
-		flows:     make(map[Key]*flow),
-		waits:     make(waits),
-		usual:     make(map[string]time.Duration),
-		unknown:   make(map[Cookie]time.Time),
-		busy:      make(map[string]busyness),
-		zones:     make(map[zoneService]zoneLoad),
-		reaches:   make(map[bundle.Zone]*reach),
-		requests:  make(map[string]*Requests),
-		LoadTable: upstream.NewLoadTable(),
+		opts:           o,
+		upstreams:      make(map[bundle.UpstreamID]*Upstream),
+		index:          newIndex(),
+		flows:          make(map[Key]*flow),
+		waitQueues:     make(waitQueues),
+		typicalLatency: make(map[string]time.Duration),
+		unknownCookies: make(map[Cookie]time.Time),
+		activity:       make(map[string]flowActivity),
+		zoneLoads:      make(map[zoneService]zoneLoad),
+		healthByZone:   make(map[bundle.Zone]*zoneHealth),
+		requests:       make(map[string]*Requests),
+		LoadTable:      upstream.NewLoadTable(),
 	}
 }
 
-// Version returns the version of the table in force, or zero.
+// Version returns the version of the routing table in force, or zero if there is none.
 func (e *Engine) Version() bundle.Version {
 	if e.routing == nil {
 		return 0
@@ -106,15 +110,16 @@
 // SetRegions replaces the regions of zones.
 func (e *Engine) SetRegions(of map[bundle.Zone]bundle.Region) { e.opts.Regions = of }
 
-// Ready reports whether flows can be placed: there are routes, and the list of
-// upstreams has been read.
+// Ready reports whether flows can be placed: a routing table is in force, and the registrations
+// were complete at least once.
 func (e *Engine) Ready() bool { return e.routing != nil && !e.confirmed.IsZero() }
 
-// Flows returns how many flows are remembered.
+// Flows returns the number of flow records.
 func (e *Engine) Flows() int { return len(e.flows) }
 
-// SetRouting puts a newer table in force. It returns resets for the flows whose
-// route it drops.
+// SetRouting puts a newer routing table in force. It returns resets for the flows whose route the
+// table no longer has, and for flows of upstreams whose registration becomes usable by the table
+// and shows a restart.
 func (e *Engine) SetRouting(r *bundle.Routing, now time.Time) []Reset {
 	e.routing = r
 	var out []Reset
@@ -124,109 +129,111 @@
 			route.Service, route.Connections = s, s.Connections
 			u.Route = &route
 		}
-		if u.strange != nil && !e.strange(u, u.strange) {
-			out = append(out, e.list(u.strange, now)...)
+		if u.mismatched != nil && !e.hasMismatchedService(u, u.mismatched) {
+			out = append(out, e.register(u.mismatched, now)...)
 		}
 	}
 	for k, f := range e.flows {
 		if r.RouteAt(k.Service()) == nil {
-			out = append(out, e.end(k, f, CauseNoRoute))
+			out = append(out, e.endFlow(k, f, CauseNoRoute))
 		}
 	}
 	return out
 }
 
-// Update takes in registered upstreams that came, changed or went, and returns resets for
-// flows of upstreams that started again. Its cost doesn't grow with the number of the others, so a small host
-// keeps up while thousands are replaced.
+// Update applies registrations that were added, changed or removed, and returns resets for flows of
+// upstreams that restarted. Its cost doesn't grow with the number of the other registrations, so
+// that a small host keeps up while thousands of upstreams are replaced.
 func (e *Engine) Update(changes []registry.Change, now time.Time) []Reset {
 	var out []Reset
 	for i := range changes {
 		if ch := &changes[i]; ch.Removed {
-			e.unlist(ch.ID, now)
+			e.deregister(ch.ID, now)
 		} else {
-			out = append(out, e.list(&ch.Registration, now)...)
+			out = append(out, e.register(&ch.Registration, now)...)
 		}
 	}
 	return out
 }
 
-// unlist takes an upstream off the list. It is looked at before its flows are reset.
-func (e *Engine) unlist(id bundle.UpstreamID, now time.Time) {
+// deregister marks an upstream as no longer registered. The upstream is probed before its flows are
+// reset.
+func (e *Engine) deregister(id bundle.UpstreamID, now time.Time) {
 	u := e.upstreams[id]
-	if u == nil || !u.listed {
+	if u == nil || !u.registered {
 		return
 	}
-	e.table.remove(u)
-	u.listed = false
-	u.goneAt = now
-	u.doubt(now)
+	e.index.removeFromService(u)
+	u.registered = false
+	u.deregisteredAt = now
+	u.suspect(now)
 }
 
-// list takes in an entry.
-func (e *Engine) list(r *registry.Registration, now time.Time) []Reset {
+// register applies a registration that was added or changed.
+func (e *Engine) register(r *registry.Registration, now time.Time) []Reset {
 	u := e.upstreams[r.ID]
 	switch {
-	case u != nil && u.listed && u.entry.SameContent(r):
-		// After a restore of the store each entry has another position. What was counted from its last change goes on.
-		u.entry = *r
+	case u != nil && u.registered && u.registration.SameContent(r):
+		// After the store was restored from a snapshot, each entry has another position. The
+		// warm-up time that runs since its last change isn't started again.
+		u.registration = *r
 		return nil
-	case u != nil && r.Unusable && (u.listed || !r.HasContent()):
-		// Its open flows go on by what was known before.
-		u.entry.Revision, u.entry.Unusable = r.Revision, true
+	case u != nil && r.Unusable && (u.registered || !r.HasContent()):
+		// Its open flows continue by its last usable registration.
+		u.registration.Revision, u.registration.Unusable = r.Revision, true
 		return nil
 	case u == nil && !r.HasContent():
-		e.unlisted(r.ID, netip.AddrPort{}, now)
+		e.addDeregistered(r.ID, netip.AddrPort{}, now)
 		return nil
 	case u == nil:
 		u = &Upstream{Cookie: Of(r.ID), load: e.LoadTable.Load(r.ID)}
 		e.upstreams[r.ID] = u
-	case e.strange(u, r):
-		strange := *r
-		u.strange = &strange
+	case e.hasMismatchedService(u, r):
+		mismatched := *r
+		u.mismatched = &mismatched
 		return nil
 	}
 	var out []Reset
-	if restart := r.Restarted(&u.entry); restart != registry.RestartNone {
-		out = e.restarted(u, r, restart == registry.RestartCertain, now)
+	if restart := r.Restarted(&u.registration); restart != registry.RestartNone {
+		out = e.handleRestart(u, r, restart == registry.RestartCertain, now)
 	}
-	e.enlist(u, r, now)
+	e.applyRegistration(u, r, now)
 	return out
 }
 
-// enlist puts an entry in force.
-func (e *Engine) enlist(u *Upstream, r *registry.Registration, now time.Time) {
-	if u.listed {
-		e.table.remove(u)
+// applyRegistration puts a registration in force.
+func (e *Engine) applyRegistration(u *Upstream, r *registry.Registration, now time.Time) {
+	if u.registered {
+		e.index.removeFromService(u)
 	}
-	u.coldUntil = now.Add(r.Warmup)
-	if !u.listed && u.health != HealthGood {
-		u.nextProbe = now // It is back on the list: look at once whether it lives.
+	u.warmingUntil = now.Add(r.Warmup)
+	if !u.registered && u.health != HealthGood {
+		u.nextProbe = now // It is registered again: probe it immediately.
 	}
-	u.listed, u.entry, u.strange = true, *r, nil
-	e.table.forgetCookie(u)
+	u.registered, u.registration, u.mismatched = true, *r, nil
+	e.index.releaseCookie(u)
 	u.Route = e.upstreamRoute(r)
-	u.reach = e.reachOf(r.Zone)
-	e.table.nameCookie(u)
-	e.table.add(u)
+	u.zoneHealth = e.zoneHealthOf(r.Zone)
+	e.index.assignCookie(u)
+	e.index.addToService(u)
 }
 
-// strange reports whether an entry gives an upstream that is known a service that no bundle
-// names. Another writer may have replaced it: open flows must not follow it to another
-// address, or they would reach an upstream that resets them.
-func (e *Engine) strange(u *Upstream, r *registry.Registration) bool {
-	return e.routing != nil && u.listed && r.Service != u.Route.Service.Name && e.routing.Registered(r.Service) == nil
+// hasMismatchedService reports whether a registration moves a known upstream to a service that no
+// bundle names. Another writer may have replaced the entry: open flows must not follow it to
+// another address, or they would reach an upstream that resets them.
+func (e *Engine) hasMismatchedService(u *Upstream, r *registry.Registration) bool {
+	return e.routing != nil && u.registered && r.Service != u.Route.Service.Name && e.routing.Registered(r.Service) == nil
 }
 
-// ConfirmRegistrations notes that the list was complete at a time.
+// ConfirmRegistrations notes that the registrations were complete at a time.
 func (e *Engine) ConfirmRegistrations(at time.Time) {
 	if at.After(e.confirmed) {
-		e.steady.confirmed(at, e.confirmed)
+		e.confirmations.add(at, e.confirmed)
 		e.confirmed = at
 	}
 }
 
-// Decide says what is done with a packet.
+// Decide decides what is done with a packet and counts the decision by its cause.
 func (e *Engine) Decide(p *Packet, now time.Time) Verdict {
 	v := e.decide(p, now)
 	switch v.Action {
@@ -246,32 +253,35 @@
 	}
 	r := e.routing.RouteAt(p.Key.Service())
 	if r == nil {
-		return refuse(p, CauseNoRoute)
+		return resetVerdict(p, CauseNoRoute)
 	}
-	if p.opens() {
-		return e.open(p, r, now)
+	if p.opensFlow() {
+		return e.decideFirst(p, r, now)
 	}
-	return e.pass(p, r, now)
+	return e.decideEstablished(p, r, now)
 }
 
-// refuse resets the flow of a packet. A reset is never answered by a reset.
-func refuse(p *Packet, c Cause) Verdict {
+// resetVerdict returns the verdict that resets a packet's flow. A packet that is itself a reset is
+// dropped.
+func resetVerdict(p *Packet, c Cause) Verdict {
 	if p.Flags.Has(FlagRST) {
 		return Verdict{Cause: c}
 	}
 	return Verdict{Action: ActionReset, Cause: c, Reset: Reset{Key: p.Key, Seq: p.Ack, Cause: c}}
 }
 
-// end forgets a flow and returns the reset that tells its caller.
-func (e *Engine) end(k Key, f *flow, c Cause) Reset {
-	e.lost(f)
-	e.forget(k, f)
+// endFlow removes a flow record, counts its pending request as failed, and returns the reset to
+// send to its caller.
+func (e *Engine) endFlow(k Key, f *flow, c Cause) Reset {
+	e.countFailed(f)
+	e.forgetFlow(k, f)
 	e.Counters.Reset[c]++
-	return Reset{Key: k, Seq: f.ack, Cause: c, Upstream: f.up.Route}
+	return Reset{Key: k, Seq: f.ack, Cause: c, Upstream: f.upstream.Route}
 }
 
-func (e *Engine) forget(k Key, f *flow) {
-	f.uncount()
-	f.up.flows--
+// forgetFlow removes a flow record and takes the flow off the load of its upstream.
+func (e *Engine) forgetFlow(k Key, f *flow) {
+	f.removeFromLoad()
+	f.upstream.flowRecords--
 	delete(e.flows, k)
 }
--- /dev/null
+++ b/internal/connection/cookie/established.go
@@ -0,0 +1,116 @@
+package cookie
+
+import (
+	"time"
+
+	"github.com/fescueshed/fescueshed/internal/version/bundle"
+)
+
+const (
+	// unknownGrace is how long packets whose cookie names no known upstream are only dropped. The
+	// cookie may be that of a new upstream whose registration hasn't been received yet, or of an
+	// upstream whose registration lapsed while the store was unavailable, which is back within
+	// about two seconds of the store's return. A reset would break a live flow.
+	unknownGrace = 3 * time.Second
+	// maxUnknownCookies bounds the memory for cookies that no balancer assigned.
+	maxUnknownCookies = 4096
+)
+
+// decideEstablished decides on a packet of an established flow.
+func (e *Engine) decideEstablished(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
+	f := e.flows[p.Key]
+	if f == nil {
+		return e.adopt(p, r, now)
+	}
+	if !f.opened {
+		e.markOpened(f, p, now)
+	}
+	u := f.upstream
+	if u.health == HealthDead {
+		return e.resetFlow(p, f, deadCause(u))
+	}
+	e.observe(f, p, r, now)
+	if p.Flags.Has(FlagRST) {
+		e.forgetFlow(p.Key, f)
+	}
+	return Verdict{Action: ActionForward, Upstream: u}
+}
+
+// markOpened notes at which upstream the flow opened. That is the one whose answer the caller
+// acknowledges, and so the one whose cookie it repeats, not necessarily the one that was tried
+// last. From then on the record decides, not the cookie: if a second upstream, tried while the
+// first was slow, answers late, the caller repeats that one's cookie. By the cookie alone, the
+// flow's packets would go to an upstream that resets them.
+func (e *Engine) markOpened(f *flow, p *Packet, now time.Time) {
+	if u := e.index.byCookie[p.Cookie]; u != nil && u != f.upstream {
+		f.moveTo(u)
+	}
+	if p.Flags.Has(FlagRST) {
+		return
+	}
+	f.opened = true
+	f.ack, f.next = p.Ack, p.Seq
+	e.markAlive(f.upstream, now)
+}
+
+// adopt decides on a packet of a flow that this balancer has no record of, and adds one if the
+// cookie names a live upstream.
+func (e *Engine) adopt(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
+	if p.Cookie == 0 {
+		return Verdict{Cause: CauseNoCookie}
+	}
+	u := e.index.byCookie[p.Cookie]
+	if u == nil {
+		return e.decideUnknownCookie(p, now)
+	}
+	if u.health == HealthDead {
+		return resetVerdict(p, deadCause(u))
+	}
+	if !u.Route.Address.IsValid() {
+		// Its registration can't be read and no usable one was ever received here. The flow may be
+		// alive.
+		return Verdict{Cause: CauseUnknownCookie}
+	}
+	if p.Flags.Has(FlagRST) {
+		return Verdict{Action: ActionForward, Upstream: u}
+	}
+	f := &flow{upstream: u, opened: true, lastPacket: now, placedAt: now, ack: p.Ack, next: p.Seq}
+	e.flows[p.Key] = f
+	u.flowRecords++
+	e.observe(f, p, r, now)
+	return Verdict{Action: ActionForward, Upstream: u}
+}
+
+// decideUnknownCookie decides on a packet whose cookie names no known upstream. It resets the flow
+// only if the registrations were complete at a time at least unknownGrace after the cookie was
+// first seen.
+func (e *Engine) decideUnknownCookie(p *Packet, now time.Time) Verdict {
+	firstSeen, ok := e.unknownCookies[p.Cookie]
+	if !ok {
+		if len(e.unknownCookies) < maxUnknownCookies {
+			e.unknownCookies[p.Cookie] = now
+		}
+		return Verdict{Cause: CauseUnknownCookie}
+	}
+	if e.confirmed.Sub(firstSeen) < unknownGrace {
+		return Verdict{Cause: CauseUnknownCookie}
+	}
+	return resetVerdict(p, CauseGone)
+}
+
+// resetFlow removes the record of a flow and returns the verdict that resets it.
+func (e *Engine) resetFlow(p *Packet, f *flow, c Cause) Verdict {
+	e.countFailed(f)
+	e.forgetFlow(p.Key, f)
+	v := resetVerdict(p, c)
+	v.Reset.Upstream = f.upstream.Route
+	return v
+}
+
+// deadCause returns the cause of a reset for flows of a dead upstream.
+func deadCause(u *Upstream) Cause {
+	if u.registered {
+		return CauseDead
+	}
+	return CauseGone
+}
--- a/internal/connection/cookie/load.go
+++ b/internal/connection/cookie/load.go
@@ -7,40 +7,41 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// busyness is how many requests are in progress for each flow of a service, as the
-// balancers of the zone see it, smoothed.
-type busyness struct {
-	perFlow float64
+// flowActivity is the smoothed number of requests in progress for each flow of a service, over all
+// balancers of the zone.
+type flowActivity struct {
+	requestsPerFlow float64
 }
 
 const (
-	// busySmoothing is the weight of one sample. Samples come each half second, so
-	// about five seconds count; in the first two seconds of a daemon they come sooner.
-	busySmoothing = 0.1
-	// busyLeast is the number of flows below which a sample says too little.
-	busyLeast = 20
+	// activitySmoothing is the weight of one sample. Samples arrive each half second, so about the
+	// last five seconds count. In the first two seconds of a daemon they arrive faster.
+	activitySmoothing = 0.1
+	// minSampleFlows is the number of flows below which a sample is ignored as too small.
+	minSampleFlows = 20
 )
 
-// zoneService is a service in a zone.
+// zoneService identifies a service in a zone.
 type zoneService struct {
 	zone    bundle.Zone
 	service string
 }
 
-// zoneLoad is what is known of a zoneService.
+// zoneLoad is the load last received for a zoneService.
 type zoneLoad struct {
-	perSlot float64
-	at      time.Time
+	flowsPerSlot float64
+	receivedAt   time.Time
 }
 
-// zoneLoadFor is how long the word of another zone counts: two of its periods and the way. A
-// zone that is cut off is silent, and nothing spills there.
-const zoneLoadFor = 1100 * time.Millisecond
+// zoneLoadTTL is how long a load received from another zone counts: two periods of its reports and
+// the time on the way. A zone that is cut off sends none, so no flow spills over there.
+const zoneLoadTTL = 1100 * time.Millisecond
 
-// ServiceLoads returns what this balancer counts of each service.
+// ServiceLoads returns what this balancer counts of each service, for those where any count isn't
+// zero.
 func (e *Engine) ServiceLoads() []peer.ServiceLoad {
 	var out []peer.ServiceLoad
-	for name, list := range e.table.byService {
+	for name, list := range e.index.byService {
 		s := peer.ServiceLoad{Service: name}
 		for _, u := range list {
 			s.Flows += uint32(max(0, u.load.Flows.Load()))
@@ -55,62 +56,62 @@
 	return out
 }
 
-// SampleServiceLoads takes in what the whole zone counts of each service, as often as loads are
-// told. One balancer's flows would say too little: with fifty of them, the requests
-// in progress vary by a half from sample to sample.
+// SampleServiceLoads adds a sample of what the whole zone counts of each service. It is called as
+// often as loads are advertised. The flows of one balancer are too few: with fifty of them, the
+// requests in progress vary by a half from sample to sample.
 func (e *Engine) SampleServiceLoads(list []peer.ServiceLoad) {
 	for _, s := range list {
-		if s.Flows < busyLeast {
+		if s.Flows < minSampleFlows {
 			continue
 		}
-		b := e.busy[s.Service]
-		b.perFlow += busySmoothing * (float64(s.Requests)/float64(s.Flows) - b.perFlow)
-		e.busy[s.Service] = b
+		a := e.activity[s.Service]
+		a.requestsPerFlow += activitySmoothing * (float64(s.Requests)/float64(s.Flows) - a.requestsPerFlow)
+		e.activity[s.Service] = a
 	}
 }
 
-// RequestsPerFlow returns how many requests are in progress for each flow of a service.
-func (e *Engine) RequestsPerFlow(service string) float64 { return e.busy[service].perFlow }
+// RequestsPerFlow returns the smoothed number of requests in progress for each flow of a service.
+func (e *Engine) RequestsPerFlow(service string) float64 { return e.activity[service].requestsPerFlow }
 
-// SetZoneLoads takes in the loads of other zones.
+// SetZoneLoads stores loads received from other zones and drops those older than zoneLoadTTL.
 func (e *Engine) SetZoneLoads(list []peer.ZoneLoad, now time.Time) {
 	for i := range list {
 		l := &list[i]
 		if l.Zone == e.opts.Zone || l.Slots == 0 {
 			continue
 		}
-		e.zones[zoneService{zone: l.Zone, service: l.Service}] = zoneLoad{
-			perSlot: float64(l.Flows) / float64(l.Slots), at: now,
+		e.zoneLoads[zoneService{zone: l.Zone, service: l.Service}] = zoneLoad{
+			flowsPerSlot: float64(l.Flows) / float64(l.Slots), receivedAt: now,
 		}
 	}
-	for k, l := range e.zones {
-		if now.Sub(l.at) > zoneLoadFor {
-			delete(e.zones, k)
+	for k, l := range e.zoneLoads {
+		if now.Sub(l.receivedAt) > zoneLoadTTL {
+			delete(e.zoneLoads, k)
 		}
 	}
 }
 
-// zoneFlows returns how many flows the upstream's zone holds for each slot, -1 if
-// that isn't known or the zone may be cut off, 0 for the own zone.
-func (e *Engine) zoneFlows(u *Upstream, now time.Time) float64 {
+// zoneFlowsPerSlot returns the number of flows for each slot in the upstream's zone, -1 if it isn't
+// known or the zone may be cut off, 0 for the own zone.
+func (e *Engine) zoneFlowsPerSlot(u *Upstream, now time.Time) float64 {
 	if u.Route.Zone == e.opts.Zone {
 		return 0
 	}
-	if u.reach.isDoubted(now) {
+	if u.zoneHealth.isSuspect(now) {
 		return -1
 	}
-	l, ok := e.zones[zoneService{zone: u.Route.Zone, service: u.Route.Service.Name}]
+	l, ok := e.zoneLoads[zoneService{zone: u.Route.Zone, service: u.Route.Service.Name}]
 	if !ok {
 		return -1
 	}
-	return l.perSlot
+	return l.flowsPerSlot
 }
 
-// OwnZoneLoads returns the loads of the balancer's own zone: what all its members count
-// at the upstreams that take flows.
+// OwnZoneLoads returns the loads of the balancer's own zone: what all its members count at the
+// upstreams that take new flows. It returns none if the zone is evacuated.
 func (e *Engine) OwnZoneLoads() []peer.ZoneLoad {
 	var out []peer.ZoneLoad
-	for name, list := range e.table.byService {
+	for name, list := range e.index.byService {
 		z := peer.ZoneLoad{Zone: e.opts.Zone, Service: name}
 		for _, u := range list {
 			if u.Route.Zone != e.opts.Zone || !u.usable() || e.isEvacuated(u) {
--- a/internal/connection/cookie/open.go
+++ b/internal/connection/cookie/open.go
@@ -7,79 +7,81 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// open decides for a first packet.
-func (e *Engine) open(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
+// decideFirst decides on a first packet.
+func (e *Engine) decideFirst(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
 	f := e.flows[p.Key]
 	if f == nil {
 		return e.place(p, r, now)
 	}
-	if e.isEvacuated(f.up) {
-		return e.openElsewhere(p, f, r, now)
+	if e.isEvacuated(f.upstream) {
+		return e.leaveEvacuatedZone(p, f, r, now)
 	}
-	if f.opened || p.Copy <= f.copies {
-		// A datagram that the network doubled or delayed.
-		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.up}
+	if f.opened || p.Copy <= f.lastCopy {
+		// The network duplicated or delayed the datagram.
+		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.upstream}
 	}
-	f.copies = p.Copy
-	f.last = now
-	// An upstream that answers other flows lost a packet of this one. Any other may
-	// be dead or full, and waiting for a second copy would cost 400 ms more. If no upstream is heard, the
-	// trouble may be this host's, and another upstream would be as silent.
-	if f.up.usable() && (now.Sub(f.up.heard) < aliveFor || now.Sub(e.heard) >= aliveFor) {
-		e.unanswered(f.up, now)
-		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.up}
+	f.lastCopy = p.Copy
+	f.lastPacket = now
+	// An upstream that answers other flows only lost a packet of this one. Any other may be dead or
+	// at capacity, and waiting for a second retransmission would cost 400 ms more. If no upstream
+	// at all is seen, the fault may be on this host's side, and another upstream would be as
+	// silent.
+	if f.upstream.usable() && (now.Sub(f.upstream.lastSeen) < aliveTTL || now.Sub(e.lastSeen) >= aliveTTL) {
+		e.noteUnanswered(f.upstream, now)
+		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.upstream}
 	}
-	e.unanswered(f.up, now)
-	f.up.reach.doubt(now)
+	e.noteUnanswered(f.upstream, now)
+	f.upstream.zoneHealth.suspect(now)
 	return e.placeAgain(p, f, r, now)
 }
 
-// openElsewhere decides for a first packet that comes again after the zone of its upstream was
-// evacuated. If the flow is open, the packet is of no use to anybody any more, and could open a
-// second one there.
-func (e *Engine) openElsewhere(p *Packet, f *flow, r *bundle.CallerRoute, now time.Time) Verdict {
+// leaveEvacuatedZone decides on a first packet that arrives again after the zone of its upstream
+// was evacuated. If the flow is open, the packet is dropped: nobody needs it any more, and it could
+// open a second flow there. Otherwise the flow is placed in another zone or refused.
+func (e *Engine) leaveEvacuatedZone(p *Packet, f *flow, r *bundle.CallerRoute, now time.Time) Verdict {
 	if f.opened {
 		return Verdict{Cause: CauseEvacuated}
 	}
-	f.copies, f.last = max(f.copies, p.Copy), now
+	f.lastCopy, f.lastPacket = max(f.lastCopy, p.Copy), now
 	v := e.placeAgain(p, f, r, now)
-	if !e.isEvacuated(f.up) {
+	if !e.isEvacuated(f.upstream) {
 		return v
 	}
-	e.forget(p.Key, f)
-	e.requestsOf(f.up.Route.Service).Refused++
-	return refuse(p, CauseEvacuated)
+	e.forgetFlow(p.Key, f)
+	e.requestCounts(f.upstream.Route.Service).Refused++
+	return resetVerdict(p, CauseEvacuated)
 }
 
-// place chooses the upstream of a new flow.
+// place chooses the upstream of a new flow and adds a flow record.
 func (e *Engine) place(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
 	h := p.Key.hash()
 	service := r.Pick(h)
 	u := e.choose(r, service, h, nil, now)
 	if u == nil {
-		e.requestsOf(service).Refused++
-		return refuse(p, CauseNoUpstream)
+		e.requestCounts(service).Refused++
+		return resetVerdict(p, CauseNoUpstream)
 	}
-	f := &flow{up: u, copies: p.Copy, placed: now, last: now, ack: p.Ack}
+	f := &flow{upstream: u, lastCopy: p.Copy, placedAt: now, lastPacket: now, ack: p.Ack}
 	e.flows[p.Key] = f
-	u.flows++
-	f.count()
+	u.flowRecords++
+	f.addToLoad()
 	return Verdict{Action: ActionForward, Cause: e.placedCause(u), Upstream: u}
 }
 
-// placeAgain turns to another upstream than those that were silent. If there is
-// no other, the flow stays.
+// placeAgain moves a flow to an upstream other than those that were silent. If there is no other
+// one, the flow stays.
 func (e *Engine) placeAgain(p *Packet, f *flow, r *bundle.CallerRoute, now time.Time) Verdict {
-	not := []*Upstream{f.up, f.before}
-	u := e.choose(r, r.Pick(p.Key.hash()), p.Key.hash(), not, now)
+	tried := []*Upstream{f.upstream, f.previous}
+	u := e.choose(r, r.Pick(p.Key.hash()), p.Key.hash(), tried, now)
 	if u == nil {
-		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.up}
+		return Verdict{Action: ActionForward, Cause: CauseRepeated, Upstream: f.upstream}
 	}
-	f.before = f.up
+	f.previous = f.upstream
 	f.moveTo(u)
 	return Verdict{Action: ActionForward, Cause: CauseSilent, Upstream: u}
 }
 
+// placedCause returns the cause for a new flow at an upstream.
 func (e *Engine) placedCause(u *Upstream) Cause {
 	if u.Route.Zone != e.opts.Zone {
 		return CauseSpilled
@@ -87,54 +89,57 @@
 	return CausePlaced
 }
 
-// choose asks the policy for one of the service's upstreams that may take a flow of the route, the
-// given ones left out. If none does, those that are only doubted are asked for.
+// choose returns the policy's choice among the service's upstreams that may take a flow of the
+// route, except for the given ones, or nil. If there is none, it tries again with those that are
+// only suspected or ejected.
 func (e *Engine) choose(
-	r *bundle.CallerRoute, s *bundle.ServiceRoute, seed uint64, not []*Upstream, now time.Time,
+	r *bundle.CallerRoute, s *bundle.ServiceRoute, seed uint64, exclude []*Upstream, now time.Time,
 ) *Upstream {
-	busy := e.busy[s.Name].perFlow
+	requestsPerFlow := e.activity[s.Name].requestsPerFlow
 	for _, suspected := range [...]bool{false, true} {
 		e.candidates = e.candidates[:0]
-		for _, u := range e.table.byService[s.Name] {
-			if excluded(u, not) || !e.mayEnter(r, u) || !u.eligible(suspected, now) || !e.bearsMore(u, now) {
+		for _, u := range e.index.byService[s.Name] {
+			if excluded(u, exclude) || !e.mayEnter(r, u) || !u.eligible(suspected, now) || !e.withinWarmupLimit(u, now) {
 				continue
 			}
 			e.candidates = append(e.candidates, upstream.Candidate{
 				Route:           u.Route,
 				Load:            u.load,
-				Cold:            now.Before(u.coldUntil),
-				RequestsPerFlow: busy,
+				Cold:            now.Before(u.warmingUntil),
+				RequestsPerFlow: requestsPerFlow,
 
-				ZoneFlowsPerSlot: e.zoneFlows(u, now),
+				ZoneFlowsPerSlot: e.zoneFlowsPerSlot(u, now),
 			})
 		}
 		if chosen := e.opts.Policy.Choose(e.candidates, seed); chosen != nil {
 			u := e.upstreams[chosen.ID]
-			e.sentTo(u, now)
+			e.recordWarmupFlow(u, now)
 			return u
 		}
 	}
 	return nil
 }
 
-// mayEnter reports whether new flows of a route may enter an upstream's zone at all, however short of others
-// they are.
+// mayEnter reports whether new flows of a route may enter an upstream's zone at all. The rule holds
+// even if no other upstream is left.
 func (e *Engine) mayEnter(r *bundle.CallerRoute, u *Upstream) bool {
 	return !e.isEvacuated(u) && r.Allows(e.opts.Regions[u.Route.Zone])
 }
 
-// eligible reports whether a new flow may go there, or, if suspected is set, whether
-// it may for want of a better one: where the upstream is doubted or left out.
+// eligible reports whether a new flow may be placed at the upstream. If suspected is set, upstreams
+// qualify too that are used only if there is no better one: the upstream or its zone is a suspect,
+// or the upstream is ejected.
 func (u *Upstream) eligible(suspected bool, now time.Time) bool {
 	if !suspected {
-		return u.takes(now) && !u.reach.isDoubted(now)
+		return u.acceptsFlows(now) && !u.zoneHealth.isSuspect(now)
 	}
-	return u.readable() && !u.Route.Drain && !u.shadowed && u.health != HealthDead
+	return u.hasUsableRegistration() && !u.Route.Drain && !u.shadowed && u.health != HealthDead
 }
 
-func excluded(u *Upstream, not []*Upstream) bool {
-	for _, n := range not {
-		if u == n {
+// excluded reports whether an upstream is in a list.
+func excluded(u *Upstream, list []*Upstream) bool {
+	for _, x := range list {
+		if u == x {
 			return true
 		}
 	}
--- a/internal/connection/cookie/restart.go
+++ b/internal/connection/cookie/restart.go
@@ -7,84 +7,84 @@
 )
 
 const (
-	// registrationLag is how long an upstream that started may take until its new entry is in a
-	// store that it reaches, or its former one has lapsed: three heartbeats of 1.2 s at the
+	// registrationLag is how long it may take after an upstream's start until its new registration
+	// is in a reachable store, or its former one has lapsed: three heartbeats of 1.2 s at the
 	// users' installations, 2.5 s for which a lapsed entry may still be kept, and the time of a
 	// watch.
 	registrationLag = 7 * time.Second
-	// steadyGap is the time between two confirmations of the list from which on the store
-	// counts as having been away. They come each half second.
-	steadyGap = 1500 * time.Millisecond
+	// confirmationGap is the time between two confirmations of the registrations above which the
+	// store counts as having been unavailable. Confirmations arrive each half second.
+	confirmationGap = 1500 * time.Millisecond
 )
 
-// steadiness is what is known of how long the list has been confirmed without a gap.
-type steadiness struct {
-	// since is when the present run of confirmations began, before the last confirmation of
+// confirmationRun is the present run of confirmations of the registrations without a gap.
+type confirmationRun struct {
+	// since is when the present run of confirmations began, previousEnd the last confirmation of
 	// the run before it, zero if there was none.
-	since, before time.Time
+	since, previousEnd time.Time
 }
 
-// confirmed takes in a confirmation, and when the one before it was.
-func (s *steadiness) confirmed(at, last time.Time) {
-	if at.Sub(last) > steadyGap {
-		s.since, s.before = at, last
+// add adds a confirmation. last is the time of the one before it.
+func (c *confirmationRun) add(at, last time.Time) {
+	if at.Sub(last) > confirmationGap {
+		c.since, c.previousEnd = at, last
 	}
 }
 
-// ranBefore returns a time before which only the former incarnation of an upstream can have run
-// whose entry shows a new one: the list told the former entry up to then. While a store was
-// away, and for as long after as an upstream has to write its entry again, the list tells
-// nothing of the kind: upstreams that started again meanwhile served flows under their former
-// entries, and a reset would break those.
-func (e *Engine) ranBefore(u *Upstream) time.Time {
+// formerIncarnationUntil returns a time until which only the former incarnation of an upstream can
+// have run, given that a registration of a new one arrives now: up to then the registrations still
+// had the former entry. While the store was unavailable, and for as long afterwards as an upstream
+// needs to write its entry again, they don't show that. Upstreams that restarted meanwhile served
+// flows under their former entries, and a reset would break those flows.
+func (e *Engine) formerIncarnationUntil(u *Upstream) time.Time {
 	last := e.confirmed
-	if !u.listed && u.goneAt.Before(last) {
-		last = u.goneAt
+	if !u.registered && u.deregisteredAt.Before(last) {
+		last = u.deregisteredAt
 	}
-	if last.Sub(e.steady.since) < registrationLag {
-		last = e.steady.before
+	if last.Sub(e.confirmations.since) < registrationLag {
+		last = e.confirmations.previousEnd
 	}
 	return last.Add(-registrationLag)
 }
 
-// restarted takes in that an upstream started again under its identifier. What was learned of
-// the former incarnation says nothing of the new one: a dead one would get no flow, an
-// ejected or loaded one too few, and a probe that is under way would end its flows.
+// handleRestart handles the restart of an upstream under its identifier. What was observed of the
+// former incarnation doesn't apply to the new one: if the former one was dead, the new one would
+// get no flow; if it was ejected or loaded, too few; and a probe of the former one that is under
+// way would end the flows of the new one.
 //
-// It returns resets for the flows that are surely of the former incarnation. Nobody else
-// tells their callers before they send something, and a request that is sent on such a flow
-// can't be repeated by its caller if it isn't idempotent. Flows of which that isn't sure stay:
-// the upstream itself resets those that it doesn't hold at their next packet, and a reset of
-// one that it does hold would break it. Until they show a sign of life they count for
-// nothing.
-func (e *Engine) restarted(u *Upstream, r *registry.Registration, certain bool, now time.Time) []Reset {
+// It returns resets for the flows that certainly belong to the former incarnation. Nothing else
+// informs their callers before they send something, and a request that is sent on such a flow can't
+// be repeated by its caller if it isn't idempotent. Flows for which that isn't certain stay: the
+// upstream itself resets those that it doesn't hold at their next packet, and a reset of one that
+// it does hold would break it. Until they show a sign of life they don't count in the load.
+func (e *Engine) handleRestart(u *Upstream, r *registry.Registration, certain bool, now time.Time) []Reset {
 	e.Counters.Restarts++
-	surely := e.ranBefore(u)
+	formerUntil := e.formerIncarnationUntil(u)
 	if u.Route.Service.Name != r.Service {
-		surely = now // The new incarnation would take them for flows of its own service.
+		formerUntil = now // The new incarnation would treat them as flows of its own service.
 	}
 	var out []Reset
 	for k, f := range e.flows {
-		if f.up != u {
+		if f.upstream != u {
 			continue
 		}
-		f.former = true
-		f.uncount()
-		if certain && !f.placed.After(surely) {
-			out = append(out, e.end(k, f, CauseRestarted))
+		f.formerIncarnation = true
+		f.removeFromLoad()
+		if certain && !f.placedAt.After(formerUntil) {
+			out = append(out, e.endFlow(k, f, CauseRestarted))
 		}
 	}
 	e.LoadTable.Forget(r.ID)
 	u.load = e.LoadTable.Load(r.ID)
-	u.renew(now)
+	u.resetIncarnation(now)
 	return out
 }
 
-// renew forgets what was learned of the former incarnation. That the new one registered is
-// its first sign of life.
-func (u *Upstream) renew(now time.Time) {
-	u.since = now
-	u.health, u.checked, u.heard = HealthGood, now, time.Time{}
-	u.probes, u.timeouts, u.refused, u.nextProbe = 0, 0, false, now
-	u.outcomes, u.ejected, u.ejections = outcomes{}, time.Time{}, 0
+// resetIncarnation clears what was observed of the former incarnation. The registration of the new
+// one counts as an answered probe.
+func (u *Upstream) resetIncarnation(now time.Time) {
+	u.incarnationSeen = now
+	u.health, u.probeAnswered, u.lastSeen = HealthGood, now, time.Time{}
+	u.probesInFlight, u.timeouts, u.refusedOnce, u.nextProbe = 0, 0, false, now
+	u.outcomes, u.ejectedUntil, u.ejections = outcomes{}, time.Time{}, 0
 }
