--- a/internal/connection/caller/query.go
+++ b/internal/connection/caller/query.go
@@ -242,7 +242,7 @@
 	if w.answer {
 		h.Hop.Flags |= geneve.FlagAnswer
 	}
-	w.send(to, h, ip.Headers(w.p.Inner))
+	w.send(to, h, ip.TruncateToHeaders(w.p.Inner))
 }
 
 // replicateHop returns the hop by which the member self sends a record.
--- a/internal/connection/caller/reply.go
+++ b/internal/connection/caller/reply.go
@@ -33,7 +33,7 @@
 		return CauseNoUpstream
 	}
 	after := why.after + rand.N(why.spread)
-	b, err := coap.Refusal(&w.p.CoAP, after, messageID())
+	b, err := coap.BuildServiceUnavailable(&w.p.CoAP, after, messageID())
 	if err != nil {
 		return CauseMalformedCoAP
 	}
@@ -44,7 +44,7 @@
 // replyUnknown answers a request that may have run with the message that its outcome is
 // unknown.
 func (e *Engine) replyUnknown(w *packetWork) Cause {
-	b, err := coap.Unknown(&w.p.CoAP, messageID())
+	b, err := coap.BuildGatewayTimeout(&w.p.CoAP, messageID())
 	if err != nil {
 		return CauseMalformedCoAP
 	}
--- a/internal/process/capacity/rows.go
+++ b/internal/process/capacity/rows.go
@@ -85,8 +85,8 @@
 }
 
 func rows(r *Report) []Row {
-	at := func(name string, size float64) float64 { return r.slope(name).At(size) }
-	near := func(name string, size float64) float64 { return r.slope(name).Near(size) }
+	at := func(name string, size float64) float64 { return r.slope(name).CostAt(size) }
+	near := func(name string, size float64) float64 { return r.slope(name).NearestCost(size) }
 	out := daemonRows(at, near)
 	out = append(out, flowRows(at)...)
 	out = append(out, platformRows(at)...)
--- a/internal/process/capacity/slope.go
+++ b/internal/process/capacity/slope.go
@@ -45,7 +45,7 @@
 	s.Fixed = (sy - s.PerSize*sx) / n
 	var rest, all float64
 	for _, p := range s.Points {
-		off, spread := p.Cost-s.At(p.Size), p.Cost-sy/n
+		off, spread := p.Cost-s.CostAt(p.Size), p.Cost-sy/n
 		rest += off * off
 		all += spread * spread
 	}
@@ -55,9 +55,9 @@
 	}
 }
 
-// Near returns the cost measured at the size nearest to the given one, for sizes
+// NearestCost returns the cost measured at the size nearest to the given one, for sizes
 // at which the line's fixed part would hide the rest.
-func (s *Slope) Near(size float64) float64 {
+func (s *Slope) NearestCost(size float64) float64 {
 	best := s.Points[0]
 	for _, p := range s.Points {
 		if math.Abs(p.Size-size) < math.Abs(best.Size-size) {
@@ -67,8 +67,8 @@
 	return best.Cost
 }
 
-// At returns the cost that the line gives for a size.
-func (s *Slope) At(size float64) float64 {
+// CostAt returns the cost that the line gives for a size.
+func (s *Slope) CostAt(size float64) float64 {
 	return s.Fixed + s.PerSize*size
 }
 
--- a/internal/process/daemon/admin.go
+++ b/internal/process/daemon/admin.go
@@ -112,10 +112,10 @@
 	for i := 1; i < caller.NumCauses; i++ {
 		count(fmt.Sprintf("fescueshed_packets_dropped_total{cause=%q}", caller.Cause(i)), c.Drops[i].Load)
 	}
-	count("fescueshed_packets_received_total", d.fabric.Counters.In.Load)
-	count("fescueshed_packets_sent_total", d.fabric.Counters.Out.Load)
+	count("fescueshed_packets_received_total", d.fabric.Counters.Received.Load)
+	count("fescueshed_packets_sent_total", d.fabric.Counters.Sent.Load)
 	count("fescueshed_packets_stale_total", d.fabric.Counters.Stale.Load)
-	count("fescueshed_packets_send_errors_total", d.fabric.Counters.Failed.Load)
+	count("fescueshed_packets_send_errors_total", d.fabric.Counters.SendErrors.Load)
 	count("fescueshed_packets_forwarded_to_home_total", c.Forwarded.Load)
 	count("fescueshed_packets_asked_total", c.Queried.Load)
 	count("fescueshed_flows_placed_total", c.Placed.Load)
--- a/internal/process/fabric/fabric.go
+++ b/internal/process/fabric/fabric.go
@@ -34,7 +34,7 @@
 
 // Counters count packets. All are safe for concurrent use.
 type Counters struct {
-	In, Out, Failed atomic.Uint64
+	Received, Sent, SendErrors atomic.Uint64
 	// Stale counts packets that waited while the process was paused.
 	Stale atomic.Uint64
 }
@@ -169,7 +169,7 @@
 		}
 		now := time.Now()
 		w.f.opts.Engine.DetectPause(now)
-		w.f.Counters.In.Add(uint64(n))
+		w.f.Counters.Received.Add(uint64(n))
 		if w.backlog.stale(w.f.opts.Engine.Counters.Pauses.Load(), n, len(w.in)) {
 			w.f.Counters.Stale.Add(uint64(n))
 			continue
--- a/internal/process/fabric/sender.go
+++ b/internal/process/fabric/sender.go
@@ -61,7 +61,7 @@
 func (s *sender) renew() {
 	old := s.udp
 	if err := s.open(); err != nil {
-		s.f.Counters.Failed.Add(1)
+		s.f.Counters.SendErrors.Add(1)
 		s.opened = time.Now()
 		return
 	}
@@ -101,10 +101,10 @@
 	}
 	for sent := 0; sent < s.n; {
 		n, err := s.conn.WriteBatch(s.msgs[sent:s.n], 0)
-		s.f.Counters.Out.Add(uint64(n))
+		s.f.Counters.Sent.Add(uint64(n))
 		sent += n
 		if err != nil {
-			s.f.Counters.Failed.Add(1)
+			s.f.Counters.SendErrors.Add(1)
 			sent++
 		}
 	}
--- a/internal/process/fabric/sender_test.go
+++ b/internal/process/fabric/sender_test.go
@@ -47,7 +47,7 @@
 				forgotten[from.Port()] = true
 				s.opened = time.Now().Add(-2 * portLifetime)
 			}
-			Expect(f.Counters.Out.Load()).To(BeEquivalentTo(6))
+			Expect(f.Counters.Sent.Load()).To(BeEquivalentTo(6))
 		})
 	}
 })
--- a/internal/request/coap/coap.go
+++ b/internal/request/coap/coap.go
@@ -57,8 +57,8 @@
 	return m.Code == codes.GET || m.Code == codes.PUT || m.Code == codes.DELETE
 }
 
-// OpensFeed reports whether the message registers an observer.
-func (m *Message) OpensFeed() bool {
+// RegistersObserver reports whether the message registers an observer.
+func (m *Message) RegistersObserver() bool {
 	return m.Code == codes.GET && m.HasObserve && m.Observe == 0
 }
 
@@ -92,17 +92,17 @@
 	return nil
 }
 
-// Refusal writes the answer 5.03 to m: the request was not run, and the caller
+// BuildServiceUnavailable writes the answer 5.03 to m: the request was not run, and the caller
 // may come back after a time, which is rounded up to seconds (RFC 7252, section
 // 5.9.3.4). id is the message ID for an answer that is no acknowledgement.
-func Refusal(m *Message, after time.Duration, id uint16) ([]byte, error) {
+func BuildServiceUnavailable(m *Message, after time.Duration, id uint16) ([]byte, error) {
 	seconds := uint32((after + time.Second - 1) / time.Second)
 	return reply(m, codes.ServiceUnavailable, &seconds, id)
 }
 
-// Unknown writes the answer 5.04 to m: the request may have run, and nobody
+// BuildGatewayTimeout writes the answer 5.04 to m: the request may have run, and nobody
 // knows its outcome.
-func Unknown(m *Message, id uint16) ([]byte, error) {
+func BuildGatewayTimeout(m *Message, id uint16) ([]byte, error) {
 	return reply(m, codes.GatewayTimeout, nil, id)
 }
 
--- a/internal/request/coap/coap_test.go
+++ b/internal/request/coap/coap_test.go
@@ -57,13 +57,13 @@
 			Expect(err).NotTo(HaveOccurred())
 			var m coap.Message
 			Expect(d.Decode(encode(message.Message{Code: codes.GET, Options: opts}), &m)).To(Succeed())
-			Expect(m.OpensFeed()).To(Equal(want))
+			Expect(m.RegistersObserver()).To(Equal(want))
 		}
 	})
 
 	It("is refused with the time to come back, rounded up", func() {
 		m := coap.Message{Type: message.Confirmable, Code: codes.POST, MessageID: 7, Token: coap.Token{Len: 2}}
-		b, err := coap.Refusal(&m, 1200*time.Millisecond, 99)
+		b, err := coap.BuildServiceUnavailable(&m, 1200*time.Millisecond, 99)
 		Expect(err).NotTo(HaveOccurred())
 		r := decode(b)
 		Expect(r.Type).To(Equal(message.Acknowledgement))
@@ -74,7 +74,7 @@
 
 	It("is answered by a message of its own if it wasn't confirmable", func() {
 		m := coap.Message{Type: message.NonConfirmable, Code: codes.POST, MessageID: 7}
-		b, err := coap.Unknown(&m, 99)
+		b, err := coap.BuildGatewayTimeout(&m, 99)
 		Expect(err).NotTo(HaveOccurred())
 		r := decode(b)
 		Expect(r.Type).To(Equal(message.NonConfirmable))
--- a/internal/request/ip/ip.go
+++ b/internal/request/ip/ip.go
@@ -156,8 +156,8 @@
 	hopLimit       = 64
 )
 
-// Headers returns the part of b that names its flow.
-func Headers(b []byte) []byte {
+// TruncateToHeaders returns the part of b that names its flow.
+func TruncateToHeaders(b []byte) []byte {
 	return b[:min(len(b), MaxHeaderBytes)]
 }
 
--- a/internal/request/ip/ip_test.go
+++ b/internal/request/ip/ip_test.go
@@ -56,7 +56,7 @@
 	It("reads headers whose payload was cut off", func() {
 		var d ip.Decoder
 		var p ip.Packet
-		Expect(d.DecodeHeaders(ip.Headers(udp(src4, dst4))[:28], &p)).To(Succeed())
+		Expect(d.DecodeHeaders(ip.TruncateToHeaders(udp(src4, dst4))[:28], &p)).To(Succeed())
 		Expect(p.Dst).To(Equal(dst4))
 	})
 
