--- a/internal/process/daemon/admin.go
+++ b/internal/process/daemon/admin.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Status returns the daemon's present state.
+// Status returns the daemon's current state.
 func (d *Daemon) Status() status.Status {
 	s := status.Status{
 		Name:         d.cfg.Name,
@@ -73,7 +73,7 @@
 	}
 	if t := d.engine.Routing(); t != nil {
 		s.Upstreams = d.upstreamStatus(t)
-		s.Evacuated = d.evacuated.status(s.Upstreams)
+		s.Evacuated = d.evacuations.status(s.Upstreams)
 	}
 	for c := 1; c < caller.NumCauses; c++ {
 		if n := d.engine.Counters.Drops[c].Load(); n > 0 {
@@ -102,7 +102,7 @@
 	return out
 }
 
-// metricSet names the counters by Prometheus conventions.
+// metricSet returns the daemon's metrics, named by the conventions of Prometheus.
 func (d *Daemon) metricSet() *metrics.Set {
 	s := metrics.NewSet()
 	count := func(name string, load func() uint64) {
@@ -124,8 +124,8 @@
 	count("fescueshed_flows_ended_total", c.Ended.Load)
 	count("fescueshed_record_conflicts_total", c.Conflicts.Load)
 	count("fescueshed_pauses_total", c.Pauses.Load)
-	count("fescueshed_control_received_bytes_total", d.control.inBytes.Load)
-	count("fescueshed_control_sent_bytes_total", d.control.outBytes.Load)
+	count("fescueshed_control_received_bytes_total", d.control.receivedBytes.Load)
+	count("fescueshed_control_sent_bytes_total", d.control.sentBytes.Load)
 	count("fescueshed_control_dropped_total", d.control.dropped.Load)
 	count("fescueshed_control_ports_renewed_total", d.control.ports.Renewed.Load)
 	count("fescueshed_bundles_refused_total", d.bundles.refused.Load)
@@ -147,5 +147,5 @@
 	return 0
 }
 
-// View returns the members as the daemon sees them.
+// View returns the daemon's current view of the members.
 func (d *Daemon) View() *peer.View { return d.engine.View() }
--- a/internal/process/daemon/bundles.go
+++ b/internal/process/daemon/bundles.go
@@ -16,29 +16,30 @@
 	"github.com/fescueshed/fescueshed/internal/version/transfer"
 )
 
-// Times of the platform's watch.
+// Times of the watch for new bundles at the platform.
 const (
 	watchWait  = 10 * time.Second
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 8 * time.Second
-	// fetchWait is how long a member's bundle may take to begin to arrive.
-	fetchWait = 3 * time.Second
-	// watcherPeriod is how soon a daemon takes over from a watcher that died.
-	watcherPeriod = time.Second
+	// fetchFirstByteTimeout bounds the time until the first byte of a bundle arrives from another member.
+	fetchFirstByteTimeout = 3 * time.Second
+	// watcherCheckPeriod is how often a daemon that doesn't watch the platform checks whether it has to,
+	// because a watcher died.
+	watcherCheckPeriod = time.Second
 )
 
-// watchersPerZone is how many daemons of a zone watch the platform, so that its
-// calls don't grow with the daemons of a cell.
+// watchersPerZone is how many daemons of a zone watch the platform. The bound keeps
+// the number of calls to the platform independent of the number of daemons in a cell.
 const (
 	watchersPerZone = 2
 )
 
-// bundles keeps the newest signed bundle and looks for newer ones, at the
-// platform and at other members.
+// bundles keeps the newest signed bundle and fetches newer ones from the platform
+// and from other members.
 type bundles struct {
 	d       *Daemon
 	trusted []bundle.Operator
-	// inForce is locked before mu.
+	// inForce has a lock of its own, which is taken before mu.
 	inForce bundle.InForce
 
 	// mu guards current and fetching.
@@ -48,7 +49,7 @@
 	ctx      context.Context
 
 	refused, platformErrors, fromPeers, fromPlatform atomic.Uint64
-	// fetches counts what was fetched from other members.
+	// fetches counts the fetches from other members.
 	fetches transfer.Counts
 }
 
@@ -56,7 +57,8 @@
 	return &bundles{d: d, trusted: d.cfg.Operators, ctx: ctx}
 }
 
-// start follows the platform until the returned function is called.
+// start watches the platform until the returned function is called, which waits for
+// the watch to end.
 func (b *bundles) start(ctx context.Context) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -67,9 +69,10 @@
 	}
 }
 
-// take puts a signed bundle in force if it is newer than the present one and
-// its signature holds.
-func (b *bundles) take(s *bundle.Signed, from *atomic.Uint64) error {
+// accept puts a signed bundle in force if it is newer than the current one and its
+// signature is valid, and increments counter then. It returns an error if the
+// signature is invalid, and nil for a bundle that isn't newer.
+func (b *bundles) accept(s *bundle.Signed, counter *atomic.Uint64) error {
 	_, err := b.inForce.ApplyIfNewer(s.Version, func() error {
 		content, err := s.Verify(b.trusted)
 		if err != nil {
@@ -79,7 +82,7 @@
 		b.mu.Lock()
 		b.current = s
 		b.mu.Unlock()
-		from.Add(1)
+		counter.Add(1)
 		b.d.apply(s, content)
 		return nil
 	})
@@ -93,16 +96,16 @@
 	return b.current
 }
 
-// watch follows the platform's head until ctx ends.
+// watch watches the head object of the platform until ctx ends.
 func (b *bundles) watch(ctx context.Context) {
 	var seen platform.ObjectVersion
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		if b.newest() != nil && !b.d.engine.View().IsWatcher(watchersPerZone) {
-			// The others tell of newer bundles with their probes.
+			// Other members announce newer bundles in their probes.
 			select {
 			case <-ctx.Done():
-			case <-time.After(watcherPeriod):
+			case <-time.After(watcherCheckPeriod):
 			}
 			continue
 		}
@@ -110,7 +113,7 @@
 		if err == nil {
 			backoff = minBackoff
 			seen = o.Version
-			b.read(o)
+			b.acceptObject(o)
 			continue
 		}
 		if !eris.Is(err, platform.ErrNotFound) {
@@ -125,21 +128,25 @@
 	}
 }
 
-func (b *bundles) read(o platform.Object) {
+// acceptObject accepts the bundle in an object of the platform, unless the object
+// has no body.
+func (b *bundles) acceptObject(o platform.Object) {
 	if len(o.Body) == 0 {
 		return
 	}
 	s, err := bundle.DecodeSigned(o.Body)
 	if err == nil {
-		err = b.take(s, &b.fromPlatform)
+		err = b.accept(s, &b.fromPlatform)
 	}
 	if err != nil {
-		klog.ErrorS(err, "Bundle of the platform refused", "ObjectVersion", o.Version)
+		klog.ErrorS(err, "Bundle from the platform refused", "ObjectVersion", o.Version)
 	}
 }
 
-// heard fetches a bundle that another member has in force, if it is newer.
-func (b *bundles) heard(v bundle.Version, from netip.AddrPort) {
+// fetchIfNewer fetches the bundle that another member has in force, if it is newer
+// than the current one and no other fetch is in progress. It doesn't wait for the
+// fetch.
+func (b *bundles) fetchIfNewer(v bundle.Version, from netip.AddrPort) {
 	b.mu.Lock()
 	newer := v > 0 && (b.current == nil || v > b.current.Version)
 	if !newer || b.fetching {
@@ -159,9 +166,9 @@
 	}()
 	s, err := fetchBundle(b.ctx, from, &b.fetches)
 	if err == nil {
-		err = b.take(s, &b.fromPeers)
+		err = b.accept(s, &b.fromPeers)
 	}
 	if err != nil {
-		klog.V(1).InfoS("Bundle of a member not taken", "From", from, "Error", err)
+		klog.V(1).InfoS("Bundle not fetched from a member", "From", from, "Error", err)
 	}
 }
--- a/internal/process/daemon/control.go
+++ b/internal/process/daemon/control.go
@@ -16,18 +16,19 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// control runs the membership over UDP.
+// control runs the membership protocol over UDP.
 type control struct {
 	d     *Daemon
 	codec *peer.Codec[peer.Message, *peer.Message]
 	ports *udpport.Ports
 
-	// mu guards members and epoch. It is a leaf: nothing is locked while it is held.
-	mu      sync.Mutex
-	members *peer.Membership
-	epoch   uint64
+	// mu guards membership and epoch. It is a leaf in the lock order: no other lock is
+	// taken while it is held.
+	mu         sync.Mutex
+	membership *peer.Membership
+	epoch      uint64
 
-	in, out, inBytes, outBytes, dropped atomic.Uint64
+	received, sent, receivedBytes, sentBytes, dropped atomic.Uint64
 }
 
 func newControl(d *Daemon, self peer.Member) (*control, error) {
@@ -41,17 +42,17 @@
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	cfg := peer.Config{ProbePeriod: time.Duration(d.cfg.ProbePeriod)}
-	c := &control{d: d, ports: p, codec: codec, members: peer.NewMembership(cfg, self, rng)}
-	d.engine.SetView(c.members.View())
+	c := &control{d: d, ports: p, codec: codec, membership: peer.NewMembership(cfg, self, rng)}
+	d.engine.SetView(c.membership.View())
 	return c, nil
 }
 
-// start reads the sockets and the platform's list until the returned function
-// is called.
+// start reads the sockets and the platform's list of hosts until the returned
+// function is called.
 func (c *control) start(ctx context.Context) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	c.ports.Start(c.datagram)
+	c.ports.Start(c.handleDatagram)
 	wg.Go(func() { c.seed(ctx) })
 	return func() {
 		cancel()
@@ -60,12 +61,12 @@
 	}
 }
 
-func (c *control) datagram(from netip.AddrPort, b []byte) {
+func (c *control) handleDatagram(from netip.AddrPort, b []byte) {
 	if c.d.blocked.Blocks(from.Addr()) {
 		return
 	}
-	c.in.Add(1)
-	c.inBytes.Add(uint64(len(b)))
+	c.received.Add(1)
+	c.receivedBytes.Add(uint64(len(b)))
 	msg, err := c.codec.Decode(b)
 	if err != nil {
 		c.dropped.Add(1)
@@ -75,23 +76,25 @@
 }
 
 func (c *control) receive(from netip.AddrPort, msg *peer.Message) {
-	c.do(func(m *peer.Membership) []peer.Envelope {
+	c.update(func(m *peer.Membership) []peer.Envelope {
 		return m.Receive(time.Now(), from, msg)
 	})
 	if msg.Kind == peer.KindPing {
 		c.d.engine.ReceiveFlowCounts(upstream.MemberID(msg.From.ID), msg.Bundle, msg.Flows)
 	}
-	c.d.bundles.heard(msg.Bundle, msg.From.RPC)
+	c.d.bundles.fetchIfNewer(msg.Bundle, msg.From.RPC)
 }
 
-// do changes the membership, puts a changed view in force and sends messages.
-func (c *control) do(f func(m *peer.Membership) []peer.Envelope) {
+// update calls f with the membership, sets the engine's view if the membership has
+// changed, and sends the messages that f returns. The messages are sent after mu is
+// released.
+func (c *control) update(f func(m *peer.Membership) []peer.Envelope) {
 	c.mu.Lock()
-	out := f(c.members)
+	out := f(c.membership)
 	var view *peer.View
-	if e := c.members.Epoch(); e != c.epoch {
+	if e := c.membership.Epoch(); e != c.epoch {
 		c.epoch = e
-		view = c.members.View()
+		view = c.membership.View()
 		old := c.d.engine.View()
 		c.d.engine.SetView(view)
 		c.d.engine.Loads.RetainMembers(memberIDs(view))
@@ -109,19 +112,19 @@
 	}
 	b, err := c.codec.Encode(&e.Message)
 	if err != nil {
-		klog.ErrorS(err, "Membership message can't be encoded")
+		klog.ErrorS(err, "Membership message could not be encoded")
 		return
 	}
 	if c.ports.Send(b, e.To, e.FreshPort) {
-		c.out.Add(1)
-		c.outBytes.Add(uint64(len(b)))
+		c.sent.Add(1)
+		c.sentBytes.Add(uint64(len(b)))
 	}
 }
 
 func (c *control) tick(now time.Time) {
 	c.d.engine.ExpireRecentPlacements(now)
 	v, flows := c.d.engine.FlowCounts()
-	c.do(func(m *peer.Membership) []peer.Envelope {
+	c.update(func(m *peer.Membership) []peer.Envelope {
 		m.SetBundle(v)
 		m.SetFlows(flows)
 		return m.Tick(now)
@@ -137,42 +140,45 @@
 }
 
 func (c *control) setBundle(v bundle.Version) {
-	c.do(func(m *peer.Membership) []peer.Envelope {
+	c.update(func(m *peer.Membership) []peer.Envelope {
 		m.SetBundle(v)
 		return nil
 	})
 }
 
-func (c *control) leave() {
-	c.do(func(m *peer.Membership) []peer.Envelope { return m.AnnounceLeaving(time.Now()) })
+func (c *control) announceLeaving() {
+	c.update(func(m *peer.Membership) []peer.Envelope { return m.AnnounceLeaving(time.Now()) })
 }
 
-func (c *control) left() {
-	c.do(func(m *peer.Membership) []peer.Envelope { return m.AnnounceLeft(time.Now()) })
+func (c *control) announceLeft() {
+	c.update(func(m *peer.Membership) []peer.Envelope { return m.AnnounceLeft(time.Now()) })
 }
 
-// seed looks for members on the platform's list until the daemon ends.
+// seed looks for members on the platform's list of hosts until ctx ends.
 func (c *control) seed(ctx context.Context) {
 	for {
 		c.seedOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(c.seedWait()):
+		case <-time.After(c.nextSeedDelay()):
 		}
 	}
 }
 
-// seedWait is the time to the next look at the platform's list. A daemon that has
-// found others learns from them, so that a large fleet reads the list rarely.
-func (c *control) seedWait() time.Duration {
+// nextSeedDelay returns the time until the next read of the platform's list of hosts,
+// with random jitter. A daemon that has found other members learns of new ones from
+// them, so a large fleet reads the list rarely.
+func (c *control) nextSeedDelay() time.Duration {
 	period := seedPeriod
 	if len(c.d.engine.View().Members) > 1 {
-		period = knownSeedPeriod
+		period = connectedSeedPeriod
 	}
 	return period/2 + rand.N(period)
 }
 
+// seedOnce pings those of the configured seeds and of the hosts on the platform's list
+// that aren't members. If the platform doesn't answer, it pings seeds only.
 func (c *control) seedOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, seedPeriod)
 	defer cancel()
@@ -185,10 +191,10 @@
 	for _, h := range hosts {
 		addrs = append(addrs, h.Control)
 	}
-	c.do(func(m *peer.Membership) []peer.Envelope { return m.Seed(addrs) })
+	c.update(func(m *peer.Membership) []peer.Envelope { return m.Seed(addrs) })
 }
 
-// logChanges writes a line for each member that came, went or changed.
+// logChanges writes a log line for each member that joined, changed or was removed.
 func logChanges(old, now *peer.View) {
 	for i := range now.Members {
 		m := &now.Members[i]
@@ -198,7 +204,7 @@
 	}
 	for i := range old.Members {
 		if m := &old.Members[i]; now.Member(m.ID) == nil {
-			klog.InfoS("Member gone", "Name", m.Name, "Zone", m.Zone)
+			klog.InfoS("Member removed", "Name", m.Name, "Zone", m.Zone)
 		}
 	}
 }
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon wires one daemon together: what lives for the whole process.
+// Package daemon connects the parts of a balancer daemon that live as long as the
+// process: engine, data and control sockets, bundles, and admin server.
 package daemon
 
 import (
@@ -22,14 +23,14 @@
 	"github.com/fescueshed/fescueshed/internal/version/platform"
 )
 
-// The periods at which the parts of a daemon look at the time.
+// The periods of the daemon's periodic tasks.
 const (
-	awakePeriod = 50 * time.Millisecond
-	tickPeriod  = 25 * time.Millisecond
-	sweepPeriod = 25 * time.Millisecond
-	seedPeriod  = 2 * time.Second
-	// knownSeedPeriod is the period once other members are known.
-	knownSeedPeriod = time.Minute
+	pauseCheckPeriod = 50 * time.Millisecond
+	tickPeriod       = 25 * time.Millisecond
+	sweepPeriod      = 25 * time.Millisecond
+	seedPeriod       = 2 * time.Second
+	// connectedSeedPeriod replaces seedPeriod once other members are known.
+	connectedSeedPeriod = time.Minute
 )
 
 // Daemon is a running balancer.
@@ -44,13 +45,13 @@
 	sweeper  sweeper
 	blocked  blocklist.List
 
-	evacuated evacuated
-	readyOnce sync.Once
-	ready     chan struct{}
+	evacuations evacuations
+	readyOnce   sync.Once
+	ready       chan struct{}
 }
 
-// New opens the sockets of a daemon and starts its parts. The clean-up function
-// ends them at once; Leave ends them gracefully before.
+// New opens the sockets of a daemon and starts its parts. The clean-up function stops
+// them immediately; for a graceful shutdown, call Leave first.
 func New(ctx context.Context, cfg *settings.Settings) (*Daemon, func(), error) {
 	d := &Daemon{cfg: cfg, boot: time.Now(), ready: make(chan struct{})}
 	cleanup, err := steps.Run(ctx,
@@ -64,7 +65,7 @@
 
 func (d *Daemon) startTimer(context.Context) (func(), error) {
 	t, stop := timer.New()
-	t.Subscribe(awakePeriod, d.engine.DetectPause)
+	t.Subscribe(pauseCheckPeriod, d.engine.DetectPause)
 	t.Subscribe(tickPeriod, d.control.tick)
 	t.Subscribe(sweepPeriod, d.sweeper.step)
 	return stop, nil
@@ -124,37 +125,39 @@
 // apply puts a verified bundle in force.
 func (d *Daemon) apply(s *bundle.Signed, b *bundle.Bundle) {
 	d.engine.SetRouting(bundle.NewRouting(s.Version, b, d.engine.Routing()))
-	d.evacuated.set(b.Evacuated, s.Version, time.Now())
+	d.evacuations.set(b.Evacuated, s.Version, time.Now())
 	d.control.setBundle(s.Version)
 	d.readyOnce.Do(func() { close(d.ready) })
 	klog.InfoS("Bundle in force", "Version", s.Version, "PreparedBy", s.PreparedBy, "ApprovedBy", s.ApprovedBy)
 }
 
-// Ready is closed once a bundle is in force.
+// Ready returns a channel that is closed once a bundle is in force.
 func (d *Daemon) Ready() <-chan struct{} { return d.ready }
 
-// ErrLeaveTimeout is returned by Leave if something was left when time ran out.
-var ErrLeaveTimeout = eris.New("daemon: the time to leave ran out")
+// ErrLeaveTimeout is returned by Leave if the daemon could not hand over its records
+// within LeaveTimeout.
+var ErrLeaveTimeout = eris.New("daemon: leaving timed out")
 
-// Leave ends the daemon gracefully: it stops being home of any flow, hands its
-// records over, lets requests in progress end, and goes on passing packets until
-// the fabric has stopped sending them.
+// Leave shuts the daemon down gracefully: the daemon stops owning flows, hands its
+// records over to other members, lets requests in progress complete, and forwards
+// packets for a further LeaveLinger, until the fabric has stopped sending them. It
+// returns ErrLeaveTimeout if the handover takes longer than LeaveTimeout.
 func (d *Daemon) Leave() error {
 	timeout := time.After(time.Duration(d.cfg.LeaveTimeout))
-	d.control.leave()
+	d.control.announceLeaving()
 	klog.InfoS("Leaving", "Flows", d.engine.Flows.Len(), "OpenRequests", d.engine.Requests.Open())
-	handed := d.sweeper.handover()
+	handedOver := d.sweeper.startHandover()
 	select {
-	case <-handed:
+	case <-handedOver:
 	case <-timeout:
-		return eris.Wrapf(ErrLeaveTimeout, "%d flows and %d requests were left",
+		return eris.Wrapf(ErrLeaveTimeout, "%d flows and %d requests remained",
 			d.engine.Flows.Len(), d.engine.Requests.Open())
 	}
 	select {
 	case <-time.After(time.Duration(d.cfg.LeaveLinger)):
 	case <-timeout:
 	}
-	d.control.left()
+	d.control.announceLeft()
 	klog.InfoS("Left", "Flows", d.engine.Flows.Len())
 	return nil
 }
--- a/internal/process/daemon/daemon_test.go
+++ b/internal/process/daemon/daemon_test.go
@@ -31,7 +31,7 @@
   "Upstreams": [{"Name": "u", "Address": "127.120.8.1:6081", "Zone": "a", "Slots": 1, "Connections": 1}]
 }]}`
 
-// hosts are daemons on loopback with a stand-in platform.
+// hosts starts daemons on loopback addresses with a stand-in platform.
 type hosts struct {
 	service *standin.Service
 	client  *platform.Client
@@ -53,17 +53,17 @@
 	return h
 }
 
-func at(n, port int) netip.AddrPort {
+func address(n, port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 120, 0, byte(n)}), uint16(port))
 }
 
 func (h *hosts) start(n int) *daemon.Daemon {
 	cfg := settings.Defaults()
 	cfg.Name, cfg.Zone = string(rune('a'+n)), "a"
-	cfg.DataAddress, cfg.ControlAddress, cfg.AdminAddress = at(n, 6081), at(n, 6082), at(n, 6083)
+	cfg.DataAddress, cfg.ControlAddress, cfg.AdminAddress = address(n, 6081), address(n, 6082), address(n, 6083)
 	cfg.Platform = h.url
-	cfg.Fabrics = []netip.AddrPort{at(99, 6081)}
-	cfg.Seeds = []netip.AddrPort{at(1, 6082), at(2, 6082)}
+	cfg.Fabrics = []netip.AddrPort{address(99, 6081)}
+	cfg.Seeds = []netip.AddrPort{address(1, 6082), address(2, 6082)}
 	cfg.Secret = []byte("0123456789abcdef")
 	cfg.Operators = []bundle.Operator{{Name: "approver", Key: h.key.Public().(ed25519.PublicKey)}}
 	d, stop, err := daemon.New(context.Background(), &cfg)
@@ -91,28 +91,28 @@
 }
 
 var _ = Describe("A bundle", func() {
-	const soon = 20 * time.Second
+	const timeout = 20 * time.Second
 
-	It("is in force on every daemon, and one with a stranger's signature never", func() {
+	It("comes into force on every daemon, but not with an invalid signature", func() {
 		h := newHosts()
 		a, b := h.start(1), h.start(2)
 		h.roll(1)
-		Eventually(version(a), soon).Should(BeEquivalentTo(1))
-		Eventually(version(b), soon).Should(BeEquivalentTo(1))
+		Eventually(version(a), timeout).Should(BeEquivalentTo(1))
+		Eventually(version(b), timeout).Should(BeEquivalentTo(1))
 		forged := h.signed(2)
 		forged.PreparedBy = "somebody else"
-		Expect(h.client.Roll(context.Background(), forged, time.Millisecond)).To(Succeed(), "the platform checks no signatures")
+		Expect(h.client.Roll(context.Background(), forged, time.Millisecond)).To(Succeed(), "the platform doesn't check signatures")
 		Consistently(version(a), 300*time.Millisecond).Should(BeEquivalentTo(1))
 	})
 
-	// A balancer goes back to an older configuration. The platform's store was
-	// restored from an old copy, and its head is an earlier version again.
-	It("never reverts, though the platform's head does", func() {
+	// Guards against a balancer that returns to an older configuration: the platform's
+	// store was restored from an old backup, so its head is an earlier version again.
+	It("isn't replaced by an older one when the platform's head reverts", func() {
 		h := newHosts()
 		a := h.start(1)
 		h.roll(1)
 		h.roll(2)
-		Eventually(version(a), soon).Should(BeEquivalentTo(2))
+		Eventually(version(a), timeout).Should(BeEquivalentTo(2))
 		_, v, err := h.client.Head(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		_, err = h.client.Put(context.Background(), platform.HeadKey, h.signed(1).Encode(), v)
@@ -120,47 +120,47 @@
 		Consistently(version(a), 300*time.Millisecond).Should(BeEquivalentTo(2))
 	})
 
-	// A replaced host serves nothing for as long as the platform is down. It has
-	// no disk, and the bundle is to be had from other members only.
+	// Guards against a replaced host that serves nothing while the platform is down. It
+	// has no disk, so it can get the bundle only from other members.
 	It("reaches a daemon that starts while the platform is down", func() {
 		h := newHosts()
 		a := h.start(1)
 		h.roll(1)
-		Eventually(version(a), soon).Should(BeEquivalentTo(1))
+		Eventually(version(a), timeout).Should(BeEquivalentTo(1))
 		h.service.SetFaults(standin.Faults{Down: true})
 		b := h.start(2)
-		Eventually(version(b), soon).Should(BeEquivalentTo(1))
+		Eventually(version(b), timeout).Should(BeEquivalentTo(1))
 	})
 
-	// An operator empties a zone by a new version and takes it back by the next. Who switches the zone off goes by what
-	// each balancer says of it.
-	It("tells on every daemon which zones are evacuated, and since when", func() {
+	// An operator evacuates a zone by a new version and ends the evacuation by a later one. The operator relies on the
+	// status of each balancer before switching the zone off.
+	It("determines which zones are evacuated in the status of a daemon, and since when", func() {
 		h := newHosts()
 		a := h.start(1)
 		evacuating := strings.Replace(content, `{"Services"`, `{"Evacuated": ["a"], "Services"`, 1)
 		Expect(h.client.Roll(context.Background(), h.signedContent(1, evacuating), time.Millisecond)).To(Succeed())
-		Eventually(version(a), soon).Should(BeEquivalentTo(1))
+		Eventually(version(a), timeout).Should(BeEquivalentTo(1))
 		s := a.Status()
 		Expect(s.Evacuated).To(HaveLen(1))
 		Expect(s.Evacuated[0].Zone).To(BeEquivalentTo("a"))
 		Expect(s.Upstreams[0].Drain).To(BeTrue())
 		Expect(h.client.Roll(context.Background(), h.signedContent(2, evacuating), time.Millisecond)).To(Succeed())
-		Eventually(version(a), soon).Should(BeEquivalentTo(2))
-		Expect(a.Status().Evacuated[0].Since).To(Equal(s.Evacuated[0].Since), "it didn't begin anew")
+		Eventually(version(a), timeout).Should(BeEquivalentTo(2))
+		Expect(a.Status().Evacuated[0].Since).To(Equal(s.Evacuated[0].Since), "the evacuation didn't start again")
 		h.roll(3)
-		Eventually(version(a), soon).Should(BeEquivalentTo(3))
+		Eventually(version(a), timeout).Should(BeEquivalentTo(3))
 		Expect(a.Status().Evacuated).To(BeEmpty())
 		Expect(a.Status().Upstreams[0].Drain).To(BeFalse())
 	})
 
-	It("is kept by a daemon that leaves and reports that nothing was left", func() {
+	It("stays in force while a daemon leaves, which the others don't count as lost", func() {
 		h := newHosts()
 		a, b := h.start(1), h.start(2)
 		h.roll(1)
-		Eventually(version(b), soon).Should(BeEquivalentTo(1))
-		Eventually(func() int { return len(a.View().Members) }, soon).Should(Equal(2))
+		Eventually(version(b), timeout).Should(BeEquivalentTo(1))
+		Eventually(func() int { return len(a.View().Members) }, timeout).Should(Equal(2))
 		Expect(a.Leave()).To(Succeed())
-		Eventually(func() int { return len(b.View().Members) }, soon).Should(Equal(1))
+		Eventually(func() int { return len(b.View().Members) }, timeout).Should(Equal(1))
 		Expect(b.View().Lost).To(BeEmpty())
 	})
 })
--- a/internal/process/daemon/evacuation.go
+++ b/internal/process/daemon/evacuation.go
@@ -13,15 +13,16 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// evacuated knows since when the zones are evacuated that the bundle in force names. It is safe for
-// concurrent use; the zero value has none.
-type evacuated struct {
+// evacuations records since when each zone that the bundle in force lists as evacuated has been evacuated.
+// It is safe for concurrent use; the zero value has no evacuated zones.
+type evacuations struct {
 	mu    sync.Mutex
 	since map[bundle.Zone]time.Time
 }
 
-// set takes in the zones of a bundle that is in force from now on.
-func (e *evacuated) set(zones []bundle.Zone, v bundle.Version, now time.Time) {
+// set replaces the evacuated zones by those of a bundle that came into force. A zone that was evacuated before
+// keeps its time.
+func (e *evacuations) set(zones []bundle.Zone, v bundle.Version, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	next := make(map[bundle.Zone]time.Time, len(zones))
@@ -35,14 +36,15 @@
 	}
 	for z := range e.since {
 		if _, ok := next[z]; !ok {
-			klog.InfoS("Zone taken back", "Zone", z, "Version", v)
+			klog.InfoS("Zone evacuation ended", "Zone", z, "Version", v)
 		}
 	}
 	e.since = next
 }
 
-// status tells since when zones are evacuated and how many flows of which this daemon is home are open there.
-func (e *evacuated) status(upstreams []status.UpstreamStatus) []status.EvacuationStatus {
+// status returns, for each evacuated zone in order of its name, since when it has been evacuated and how many
+// of the flows that this daemon owns are open there.
+func (e *evacuations) status(upstreams []status.UpstreamStatus) []status.EvacuationStatus {
 	e.mu.Lock()
 	since := maps.Clone(e.since)
 	e.mu.Unlock()
--- a/internal/process/daemon/rpc.go
+++ b/internal/process/daemon/rpc.go
@@ -12,12 +12,12 @@
 	"github.com/fescueshed/fescueshed/internal/version/transfer"
 )
 
-// methodBundle returns the signed bundle that the daemon has in force.
+// methodBundle is the RPC method that returns the signed bundle that the daemon has in force.
 const methodBundle = "Bundle.Get"
 
-// errNoBundle is the JSON-RPC code of a daemon without a bundle, in the range
-// that the specification leaves to servers.
-const errNoBundle = -32001
+// codeNoBundle is the JSON-RPC error code of a daemon that has no bundle in force. It
+// is in the range that the specification reserves for errors defined by servers.
+const codeNoBundle = -32001
 
 // startRPC serves JSON-RPC 2.0 to other daemons over TCP.
 func (d *Daemon) startRPC(ctx context.Context) (func(), error) {
@@ -30,15 +30,15 @@
 	}
 	s := d.bundles.newest()
 	if s == nil {
-		return nil, &jsonrpc2.Error{Code: errNoBundle, Message: "no bundle is in force here"}
+		return nil, &jsonrpc2.Error{Code: codeNoBundle, Message: "no bundle is in force here"}
 	}
 	return s, nil
 }
 
-// fetchBundle asks another daemon for its bundle. What comes is trusted only by
-// its signature.
+// fetchBundle requests the bundle of another daemon and decodes it. It doesn't verify
+// the signature; bundles.accept does.
 func fetchBundle(ctx context.Context, from netip.AddrPort, counts *transfer.Counts) (*bundle.Signed, error) {
-	l := transfer.Limits{FirstByteTimeout: fetchWait, StallTimeout: transfer.DefaultStallTimeout}
+	l := transfer.Limits{FirstByteTimeout: fetchFirstByteTimeout, StallTimeout: transfer.DefaultStallTimeout}
 	raw, _, err := peer.CallRPC[json.RawMessage](ctx, from, peer.RPC{Method: methodBundle}, l, counts)
 	if err != nil {
 		return nil, err
--- a/internal/process/daemon/sweeper.go
+++ b/internal/process/daemon/sweeper.go
@@ -7,26 +7,30 @@
 	"github.com/fescueshed/fescueshed/internal/connection/caller"
 )
 
-// maxHandoverPasses is how often a leaving daemon tells its records at most. It
-// ends sooner once a pass finds that all were confirmed.
+// maxHandoverPasses is the maximum number of passes in which a leaving daemon sends
+// its records. The handover ends earlier, once a pass finds that all records have been
+// confirmed.
 const maxHandoverPasses = 20
 
-// sweeper works through the engine's shards at a bounded rate.
+// sweeper sweeps the shards of the engine's flow table, one after the other, at a
+// bounded rate.
 type sweeper struct {
 	d *Daemon
-	// mu guards all below. Nothing else is locked while it is held but the
-	// engine's shards and the fabric's sender, in this order.
+	// mu guards all fields below. While it is held, only the engine's shards and the
+	// fabric's sender are locked, in this order.
 	mu    sync.Mutex
 	shard int
 	out   []caller.Output
-	// told counts the records told in this pass.
-	told int
-	// passes counts down while the daemon leaves.
+	// awaitingConfirmation counts the records sent in this pass that other members must
+	// confirm.
+	awaitingConfirmation int
+	// passes is the number of handover passes left, 0 unless the daemon is leaving.
 	passes int
 	done   chan struct{}
 }
 
-// step sweeps one shard, or as many as the handover rate allows while leaving.
+// step sweeps one shard. While the daemon is leaving, it sweeps as many shards as the
+// handover rate allows, at most to the end of the pass.
 func (s *sweeper) step(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,26 +44,28 @@
 	}
 }
 
-// sweep goes through the next shard. A shard that the budget cut short is swept
-// again.
+// sweep sweeps the current shard and sends the records. It advances to the next shard
+// only if the budget was sufficient; otherwise the same shard is swept again.
 func (s *sweeper) sweep(now time.Time, budget int) caller.SweepResult {
 	out, result := s.d.engine.Sweep(now, s.shard, budget, s.out[:0])
 	s.out = out
 	s.d.fabric.Send(out)
-	s.told += result.AwaitingConfirmation
+	s.awaitingConfirmation += result.AwaitingConfirmation
 	if result.Complete {
-		s.next()
+		s.advance()
 	}
 	return result
 }
 
-func (s *sweeper) next() {
+// advance moves to the next shard. At the end of a handover pass in which no record
+// awaited confirmation, or of the last pass, it ends the handover.
+func (s *sweeper) advance() {
 	s.shard++
 	if s.shard < s.d.engine.Flows.Shards() {
 		return
 	}
-	confirmed := s.told == 0
-	s.shard, s.told = 0, 0
+	confirmed := s.awaitingConfirmation == 0
+	s.shard, s.awaitingConfirmation = 0, 0
 	if s.passes == 0 {
 		return
 	}
@@ -70,12 +76,12 @@
 	}
 }
 
-// handover starts telling all records to the members that stay. The channel is
-// closed once they have confirmed them.
-func (s *sweeper) handover() <-chan struct{} {
+// startHandover starts sending all records to the members that stay. The returned
+// channel is closed once they have confirmed all records, or after maxHandoverPasses.
+func (s *sweeper) startHandover() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shard, s.told = 0, 0
+	s.shard, s.awaitingConfirmation = 0, 0
 	s.passes = maxHandoverPasses
 	s.done = make(chan struct{})
 	return s.done
