--- a/internal/process/fabric/backlog.go
+++ b/internal/process/fabric/backlog.go
@@ -1,24 +1,27 @@
 package fabric
 
-// backlog recognizes packets that waited in a socket while the process was
-// paused. Passed on seconds late, a request would run after its caller has given
-// it up, and would hold a slot at an upstream that doesn't answer it again; so
-// they are dropped, and what is still wanted is repeated. The zero value works.
+// backlog recognizes packets that waited in a socket while the process was paused.
+// They have to be dropped: forwarded seconds late, a request would run after its caller
+// has given it up, and would occupy a slot of an upstream that doesn't answer it again.
+// Callers repeat the requests that they still need. The zero value is ready for use.
 type backlog struct {
-	pauses uint64
-	late   bool
+	// pauses is the number of pauses as of the previous batch.
+	pauses   uint64
+	draining bool
 }
 
-// stale reports whether a batch of n packets, of at most size, is from before
-// the last of so many pauses. The first batch that isn't full empties the socket.
+// stale reports whether a batch of n packets may have been received before or during
+// the process's last pause. pauses is the number of pauses until now, size the largest
+// possible n. The first batch after a pause that isn't full empties the socket, so it is
+// the last stale one.
 func (b *backlog) stale(pauses uint64, n, size int) bool {
 	if pauses != b.pauses {
 		b.pauses = pauses
-		b.late = true
+		b.draining = true
 	}
-	stale := b.late
+	stale := b.draining
 	if n < size {
-		b.late = false
+		b.draining = false
 	}
 	return stale
 }
--- a/internal/process/fabric/backlog_test.go
+++ b/internal/process/fabric/backlog_test.go
@@ -14,9 +14,9 @@
 	RunSpecs(t, "fabric", cfg, reporter)
 }
 
-// Callers are refused for a minute after a balancer was paused. It passes on
-// calls that waited in its socket; their upstreams dealt with them long ago and
-// don't answer again, so the calls keep their slots.
+// Guards against callers that are refused for a minute after a balancer was paused. The
+// balancer forwards requests that waited in its socket; the upstreams have handled them
+// long ago and don't answer again, so the requests keep occupying slots.
 var _ = Describe("Backlog", func() {
 	type batch struct {
 		pauses uint64
@@ -24,9 +24,9 @@
 		stale  bool
 	}
 	for name, batches := range map[string][]batch{
-		"nothing before a pause":       {{0, 64, false}, {0, 3, false}},
-		"what waited, until it's gone": {{0, 64, false}, {1, 64, true}, {1, 64, true}, {1, 5, true}, {1, 64, false}},
-		"each pause's":                 {{1, 5, true}, {1, 5, false}, {2, 5, true}, {2, 5, false}},
+		"nothing before a pause":                        {{0, 64, false}, {0, 3, false}},
+		"the waiting packets until the socket is empty": {{0, 64, false}, {1, 64, true}, {1, 64, true}, {1, 5, true}, {1, 64, false}},
+		"the waiting packets after each pause":          {{1, 5, true}, {1, 5, false}, {2, 5, true}, {2, 5, false}},
 	} {
 		It("drops "+name, func() {
 			var b backlog
--- a/internal/process/fabric/batch.go
+++ b/internal/process/fabric/batch.go
@@ -7,7 +7,7 @@
 	"golang.org/x/net/ipv6"
 )
 
-// batchConn moves several datagrams with one system call, over IPv4 or IPv6.
+// batchConn reads or writes several datagrams with one system call, over IPv4 or IPv6.
 type batchConn interface {
 	ReadBatch(ms []ipv4.Message, flags int) (int, error)
 	WriteBatch(ms []ipv4.Message, flags int) (int, error)
--- a/internal/process/fabric/bench_test.go
+++ b/internal/process/fabric/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// The benchmark's path on loopback: a sender, the relay or balancer, a sink.
+// The addresses of the benchmark on loopback: a sender, the relay or balancer, a sink, and the service.
 var (
 	benchRelay = netip.MustParseAddrPort("127.119.0.1:6081")
 	benchFrom  = netip.MustParseAddrPort("127.119.0.2:6081")
@@ -33,7 +33,7 @@
 	benchDuration = 2 * time.Second
 )
 
-// startBalancer runs one worker of the product.
+// startBalancer runs a balancer's workers.
 func startBalancer(b *testing.B, workers int) {
 	e := caller.NewEngine(caller.Options{Self: 1, Fabrics: []netip.AddrPort{benchFrom}, Start: time.Now(), Lease: time.Hour})
 	e.SetRouting(bundle.NewRouting(1, &bundle.Bundle{Services: []bundle.Service{{
@@ -51,7 +51,7 @@
 	b.Cleanup(stop)
 }
 
-// startRelay runs workers that pass each packet on as it is.
+// startRelay runs workers that forward each packet unchanged.
 func startRelay(b *testing.B, workers int) {
 	to := net.UDPAddrFromAddrPort(benchSink)
 	for range workers {
@@ -104,14 +104,14 @@
 	return geneve.Append(nil, &h, nil, inner)
 }
 
-// sink counts what arrives until it is closed.
+// startSink counts the packets that arrive, until the benchmark ends.
 func startSink(b *testing.B) *atomic.Int64 {
 	c, err := listen(benchSink, benchBuffer)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = c.Close() })
-	var got atomic.Int64
+	var received atomic.Int64
 	p := ipv4.NewPacketConn(c)
 	go func() {
 		msgs := make([]ipv4.Message, benchBatch)
@@ -123,13 +123,13 @@
 			if err != nil {
 				return
 			}
-			got.Add(int64(n))
+			received.Add(int64(n))
 		}
 	}()
-	return &got
+	return &received
 }
 
-// flood sends as fast as it can for a time.
+// flood sends packets as fast as possible for the time d.
 func flood(b *testing.B, d time.Duration) {
 	var wg sync.WaitGroup
 	for s := range benchSenders {
@@ -153,19 +153,19 @@
 	wg.Wait()
 }
 
-// BenchmarkThroughput compares the packets a second through one balancer with
-// those through a bare relay with the same batching. Compare within one run.
+// BenchmarkThroughput compares the packets per second through one balancer with those through a bare relay with the
+// same batching. Only figures of the same run are comparable.
 func BenchmarkThroughput(b *testing.B) {
 	for name, start := range map[string]func(*testing.B, int){"Balancer": startBalancer, "BareRelay": startRelay} {
 		b.Run(name, func(b *testing.B) {
-			got := startSink(b)
+			received := startSink(b)
 			start(b, 1)
 			flood(b, benchDuration/10)
 			for b.Loop() {
-				before := got.Load()
+				before := received.Load()
 				began := time.Now()
 				flood(b, benchDuration)
-				b.ReportMetric(float64(got.Load()-before)/time.Since(began).Seconds(), "packets/s")
+				b.ReportMetric(float64(received.Load()-before)/time.Since(began).Seconds(), "packets/s")
 			}
 		})
 	}
--- a/internal/process/fabric/fabric.go
+++ b/internal/process/fabric/fabric.go
@@ -1,5 +1,5 @@
-// Package fabric moves Geneve packets between the network fabric, other daemons
-// and upstream hosts: sockets and the workers that read them.
+// Package fabric exchanges Geneve packets with the network fabric, other daemons and
+// upstream hosts. It holds the UDP sockets and the workers that read them.
 package fabric
 
 import (
@@ -28,28 +28,31 @@
 	BufferBytes int
 	Engine      *caller.Engine
 	Key         *geneve.Key
-	// Blocked are networks not spoken with; nil for none.
+	// Blocked lists the networks from which packets are ignored and to which none are
+	// sent; nil for none.
 	Blocked *blocklist.List
 }
 
-// Counters count packets. All are safe for concurrent use.
+// Counters count packets; SendErrors also counts failures to open a new source port. All
+// are safe for concurrent use.
 type Counters struct {
 	Received, Sent, SendErrors atomic.Uint64
-	// Stale counts packets that waited while the process was paused.
+	// Stale counts packets that were dropped because they waited in a socket while the
+	// process was paused.
 	Stale atomic.Uint64
 }
 
-// Fabric is the pool of workers over the engine's tables.
+// Fabric is a pool of workers that share one engine.
 type Fabric struct {
 	opts     Options
 	workers  []*worker
 	Counters Counters
-	// mu guards sender, which sends what no packet brought about.
+	// mu guards sender, which Send uses; each worker has a sender of its own.
 	mu     sync.Mutex
 	sender *sender
 }
 
-// maxPacketBytes is the largest packet that is read: a jumbo frame.
+// maxPacketBytes is the size of the largest packet that is read: a jumbo frame.
 const maxPacketBytes = 9216
 
 // New opens the sockets and starts the workers. The clean-up function closes
@@ -79,8 +82,8 @@
 	return f, cleanup, nil
 }
 
-// Send sends packets that no received packet brought about. It is safe for
-// concurrent use.
+// Send sends packets that aren't triggered by a received packet, such as those of a
+// sweep. It is safe for concurrent use.
 func (f *Fabric) Send(out []caller.Output) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,9 +93,9 @@
 	f.sender.flush()
 }
 
-// worker reads one socket of the group that shares the data address.
+// worker reads one of the sockets that share the data address (SO_REUSEPORT).
 type worker struct {
-	f       *Fabric
+	fabric  *Fabric
 	conn    batchConn
 	udp     *net.UDPConn
 	in      []ipv4.Message
@@ -112,7 +115,7 @@
 		_ = udp.Close()
 		return nil, nil, err
 	}
-	w := &worker{f: f, conn: newBatchConn(udp), udp: udp, sender: s}
+	w := &worker{fabric: f, conn: newBatchConn(udp), udp: udp, sender: s}
 	w.in = make([]ipv4.Message, f.opts.Batch)
 	for i := range w.in {
 		w.in[i].Buffers = [][]byte{make([]byte, maxPacketBytes)}
@@ -151,13 +154,14 @@
 	return err
 }
 
-// setBuffers asks for large buffers. The kernel may grant less, which costs
-// packets under bursts but nothing else.
+// setBuffers requests socket buffers of n bytes each. It ignores errors: the kernel may
+// grant less, which only loses packets in bursts.
 func setBuffers(c *net.UDPConn, n int) {
 	_ = c.SetReadBuffer(n)
 	_ = c.SetWriteBuffer(n)
 }
 
+// run reads packets and handles them until the socket is closed.
 func (w *worker) run() {
 	for {
 		n, err := w.conn.ReadBatch(w.in, 0)
@@ -168,10 +172,10 @@
 			continue
 		}
 		now := time.Now()
-		w.f.opts.Engine.DetectPause(now)
-		w.f.Counters.Received.Add(uint64(n))
-		if w.backlog.stale(w.f.opts.Engine.Counters.Pauses.Load(), n, len(w.in)) {
-			w.f.Counters.Stale.Add(uint64(n))
+		w.fabric.opts.Engine.DetectPause(now)
+		w.fabric.Counters.Received.Add(uint64(n))
+		if w.backlog.stale(w.fabric.opts.Engine.Counters.Pauses.Load(), n, len(w.in)) {
+			w.fabric.Counters.Stale.Add(uint64(n))
 			continue
 		}
 		for i := range w.in[:n] {
@@ -182,17 +186,18 @@
 	}
 }
 
+// handle decodes and handles one packet, and adds the resulting packets to the sender.
 func (w *worker) handle(now time.Time, from net.Addr, b []byte) {
 	udp, ok := from.(*net.UDPAddr)
 	if !ok {
 		return
 	}
 	addr := udp.AddrPort().Addr().Unmap()
-	if w.f.opts.Blocked.Blocks(addr) {
+	if w.fabric.opts.Blocked.Blocks(addr) {
 		return
 	}
-	e := w.f.opts.Engine
-	p, cause := w.decode.Decode(e, w.f.opts.Key, addr, b)
+	e := w.fabric.opts.Engine
+	p, cause := w.decode.Decode(e, w.fabric.opts.Key, addr, b)
 	if cause != caller.CauseNone {
 		e.Counters.Drops[cause].Add(1)
 		return
--- a/internal/process/fabric/sender_test.go
+++ b/internal/process/fabric/sender_test.go
@@ -12,12 +12,12 @@
 	"github.com/fescueshed/fescueshed/internal/connection/geneve"
 )
 
-// A desk's feed is silent for good while new feeds work. A middlebox between two
-// hosts has lost track of one pair of ports; all that a balancer sends from its
-// port is dropped, and nothing tells it so.
+// Guards against a feed that stays silent permanently while new feeds work. A middlebox
+// between two hosts has lost its state for one pair of ports, and drops all packets from a
+// balancer's source port without any notice.
 var _ = Describe("Sender", func() {
 	for name, loopback := range map[string]string{"IPv4": "127.0.0.1", "IPv6": "::1"} {
-		It("sends from another port after the lifetime of one: "+name, func() {
+		It("sends from a new port when the lifetime of the old one has passed: "+name, func() {
 			sink, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(netip.MustParseAddr(loopback), 0)))
 			Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = sink.Close() }()
@@ -30,7 +30,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			defer stop()
 
-			forgotten := make(map[uint16]bool)
+			usedPorts := make(map[uint16]bool)
 			out := caller.Output{To: to, Header: geneve.Header{VNI: 1, EtherType: geneve.EtherTypeIPv4}}
 			buf := make([]byte, 100)
 			for range 3 {
@@ -42,9 +42,9 @@
 				Expect(err).NotTo(HaveOccurred())
 				_, again, err := sink.ReadFromUDPAddrPort(buf)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(again).To(Equal(from), "within its lifetime a port is kept")
-				Expect(forgotten[from.Port()]).To(BeFalse())
-				forgotten[from.Port()] = true
+				Expect(again).To(Equal(from), "a port is kept during its lifetime")
+				Expect(usedPorts[from.Port()]).To(BeFalse())
+				usedPorts[from.Port()] = true
 				s.opened = time.Now().Add(-2 * portLifetime)
 			}
 			Expect(f.Counters.Sent.Load()).To(BeEquivalentTo(6))
--- a/internal/request/coap/coap.go
+++ b/internal/request/coap/coap.go
@@ -1,5 +1,5 @@
-// Package coap reads what the decisions need of a CoAP message (RFC 7252) and
-// writes the answers that a daemon gives itself.
+// Package coap decodes those parts of CoAP messages (RFC 7252) that a daemon needs for
+// its decisions, and builds the responses that a daemon sends itself.
 package coap
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrMalformed is returned for bytes that are no CoAP message.
+// ErrMalformed is returned for bytes that aren't a valid CoAP message.
 var ErrMalformed = eris.New("coap: malformed message")
 
 const (
@@ -23,7 +23,8 @@
 	minResponse = codes.Code(2 << classShift)
 )
 
-// Token matches an answer to its request. It is comparable.
+// Token is the token of a CoAP message, by which a response is matched to its request.
+// It is comparable.
 type Token struct {
 	Bytes [message.MaxTokenSize]byte
 	Len   uint8
@@ -35,40 +36,41 @@
 	Code      codes.Code
 	MessageID uint16
 	Token     Token
-	// HasObserve is set if the message has an Observe option (RFC 7641), whose
-	// value is then in Observe.
+	// HasObserve reports whether the message has an Observe option (RFC 7641). Observe
+	// is its value.
 	HasObserve bool
 	Observe    uint32
 }
 
-// IsRequest reports whether the message asks for something.
+// IsRequest reports whether the message's code is that of a request.
 func (m *Message) IsRequest() bool {
 	return m.Code != codes.Empty && m.Code <= maxRequest
 }
 
-// IsResponse reports whether the message answers a request.
+// IsResponse reports whether the message's code is that of a response.
 func (m *Message) IsResponse() bool {
 	return m.Code >= minResponse
 }
 
-// IsIdempotent reports whether running the request twice is as good as once
-// (RFC 7252, section 5.8). Methods that aren't known count as not idempotent.
+// IsIdempotent reports whether running the request twice has the same effect as running
+// it once (RFC 7252, section 5.8). Unknown methods count as not idempotent.
 func (m *Message) IsIdempotent() bool {
 	return m.Code == codes.GET || m.Code == codes.PUT || m.Code == codes.DELETE
 }
 
-// RegistersObserver reports whether the message registers an observer.
+// RegistersObserver reports whether the message registers an observer, and so opens a
+// feed (RFC 7641).
 func (m *Message) RegistersObserver() bool {
 	return m.Code == codes.GET && m.HasObserve && m.Observe == 0
 }
 
-// Decoder reads messages without allocating. It isn't safe for concurrent use.
-// The zero value works.
+// Decoder decodes messages without allocating. It isn't safe for concurrent use. The
+// zero value is ready for use.
 type Decoder struct {
 	msg message.Message
 }
 
-// Decode reads b into m. Nothing in m aliases b.
+// Decode decodes b into m, or returns ErrMalformed. Nothing in m aliases b.
 func (d *Decoder) Decode(b []byte, m *Message) error {
 	if d.msg.Options == nil {
 		d.msg.Options = make(message.Options, 0, maxOptions)
@@ -92,20 +94,23 @@
 	return nil
 }
 
-// BuildServiceUnavailable writes the answer 5.03 to m: the request was not run, and the caller
-// may come back after a time, which is rounded up to seconds (RFC 7252, section
-// 5.9.3.4). id is the message ID for an answer that is no acknowledgement.
+// BuildServiceUnavailable returns the response 5.03 to m: the request was not run, and the
+// caller may try again after the time after, which is rounded up to seconds (RFC 7252,
+// section 5.9.3.4). id is the message ID of a response that isn't an acknowledgement.
 func BuildServiceUnavailable(m *Message, after time.Duration, id uint16) ([]byte, error) {
 	seconds := uint32((after + time.Second - 1) / time.Second)
 	return reply(m, codes.ServiceUnavailable, &seconds, id)
 }
 
-// BuildGatewayTimeout writes the answer 5.04 to m: the request may have run, and nobody
-// knows its outcome.
+// BuildGatewayTimeout returns the response 5.04 to m: the request may have run, and its
+// outcome is unknown. id is as for BuildServiceUnavailable.
 func BuildGatewayTimeout(m *Message, id uint16) ([]byte, error) {
 	return reply(m, codes.GatewayTimeout, nil, id)
 }
 
+// reply returns a response to m with the given code, and with a Max-Age option if maxAge,
+// in seconds, isn't nil. It is an acknowledgement if m is confirmable, and otherwise a
+// non-confirmable message with the message ID id.
 func reply(m *Message, code codes.Code, maxAge *uint32, id uint16) ([]byte, error) {
 	r := message.Message{
 		Type:      message.NonConfirmable,
--- a/internal/request/coap/coap_test.go
+++ b/internal/request/coap/coap_test.go
@@ -50,7 +50,7 @@
 		})
 	}
 
-	It("opens a feed by Observe 0 only", func() {
+	It("registers an observer only with Observe 0", func() {
 		var d coap.Decoder
 		for value, want := range map[uint32]bool{0: true, 1: false} {
 			opts, _, err := message.Options{}.SetObserve(make([]byte, 4), value)
@@ -61,7 +61,7 @@
 		}
 	})
 
-	It("is refused with the time to come back, rounded up", func() {
+	It("is refused with the time until a retry, rounded up to seconds", func() {
 		m := coap.Message{Type: message.Confirmable, Code: codes.POST, MessageID: 7, Token: coap.Token{Len: 2}}
 		b, err := coap.BuildServiceUnavailable(&m, 1200*time.Millisecond, 99)
 		Expect(err).NotTo(HaveOccurred())
@@ -72,7 +72,7 @@
 		Expect(r.Options.GetUint32(message.MaxAge)).To(BeEquivalentTo(2))
 	})
 
-	It("is answered by a message of its own if it wasn't confirmable", func() {
+	It("is answered by a non-confirmable message with its own ID if it wasn't confirmable", func() {
 		m := coap.Message{Type: message.NonConfirmable, Code: codes.POST, MessageID: 7}
 		b, err := coap.BuildGatewayTimeout(&m, 99)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/request/ip/ip.go
+++ b/internal/request/ip/ip.go
@@ -1,5 +1,5 @@
-// Package ip reads the headers of the packets that callers and upstreams
-// exchange, and writes the few packets that a daemon answers itself.
+// Package ip decodes the headers of the packets that callers and upstreams exchange,
+// and builds the few packets that a daemon sends itself.
 package ip
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Protocol is the transport protocol number (IANA).
+// Protocol is a transport protocol number as assigned by IANA.
 type Protocol uint8
 
-// The transport protocols that flows are made of.
+// The transport protocols of flows.
 const (
 	ProtocolTCP Protocol = 6
 	ProtocolUDP Protocol = 17
@@ -22,7 +22,7 @@
 // TCPFlags are the control bits of a TCP segment (RFC 9293, section 3.1).
 type TCPFlags uint8
 
-// The control bits that open and end flows.
+// The control bits of TCP that matter for opening and ending flows.
 const (
 	TCPFin TCPFlags = 1 << iota
 	TCPSyn
@@ -31,27 +31,27 @@
 	TCPAck
 )
 
-// The reasons for which a packet can't be read.
+// The errors of Decode and DecodeHeaders.
 var (
 	ErrHeader    = eris.New("ip: malformed header")
-	ErrTruncated = eris.New("ip: shorter than its header says")
-	ErrFragment  = eris.New("ip: fragments carry no ports")
-	ErrProtocol  = eris.New("ip: neither TCP nor UDP")
+	ErrTruncated = eris.New("ip: packet is shorter than its header says")
+	ErrFragment  = eris.New("ip: packet is a fragment, whose ports can't be read")
+	ErrProtocol  = eris.New("ip: protocol is neither TCP nor UDP")
 )
 
-// Packet is what a decision needs to know of a packet. Payload aliases the
-// bytes that were decoded.
+// Packet holds what is needed to decide about a packet. Payload aliases the decoded
+// bytes.
 type Packet struct {
 	Src, Dst netip.AddrPort
 	Protocol Protocol
 	TCPFlags TCPFlags
-	// Seq and Ack are the numbers of a TCP segment.
+	// Seq and Ack are the sequence and acknowledgement numbers of a TCP segment.
 	Seq, Ack uint32
 	Payload  []byte
 }
 
-// Decoder reads packets without allocating. It isn't safe for concurrent use:
-// each worker has its own. The zero value works.
+// Decoder decodes packets without allocating. It isn't safe for concurrent use: each
+// worker has its own. The zero value is ready for use.
 type Decoder struct {
 	ip4       layers.IPv4
 	ip6       layers.IPv6
@@ -63,12 +63,14 @@
 // SetTruncated implements gopacket.DecodeFeedback.
 func (d *Decoder) SetTruncated() { d.truncated = true }
 
-// Decode reads an IPv4 or IPv6 packet into p.
+// Decode decodes an IPv4 or IPv6 packet into p. It returns ErrTruncated if the packet is
+// shorter than its headers say.
 func (d *Decoder) Decode(b []byte, p *Packet) error {
 	return d.decode(b, p, false)
 }
 
-// DecodeHeaders reads a packet of which only the headers are there.
+// DecodeHeaders decodes a packet whose payload may be cut off, as TruncateToHeaders
+// returns it.
 func (d *Decoder) DecodeHeaders(b []byte, p *Packet) error {
 	return d.decode(b, p, true)
 }
@@ -93,15 +95,15 @@
 	if err != nil {
 		return err
 	}
-	sport, dport, err := d.decodeTransport(payload, p)
+	srcPort, dstPort, err := d.decodeTransport(payload, p)
 	if err != nil {
 		return err
 	}
 	if d.truncated && !headersOnly {
 		return ErrTruncated
 	}
-	p.Src = netip.AddrPortFrom(src, sport)
-	p.Dst = netip.AddrPortFrom(dst, dport)
+	p.Src = netip.AddrPortFrom(src, srcPort)
+	p.Dst = netip.AddrPortFrom(dst, dstPort)
 	return nil
 }
 
@@ -128,7 +130,7 @@
 	return src, dst, d.ip6.Payload, nil
 }
 
-func (d *Decoder) decodeTransport(b []byte, p *Packet) (sport, dport uint16, err error) {
+func (d *Decoder) decodeTransport(b []byte, p *Packet) (srcPort, dstPort uint16, err error) {
 	switch p.Protocol {
 	case ProtocolUDP:
 		if err := d.udp.DecodeFromBytes(b, d); err != nil {
@@ -151,23 +153,25 @@
 
 const (
 	tcpFlagsOffset = 13
-	// MaxHeaderBytes covers an IPv6 header and a TCP header without options.
+	// MaxHeaderBytes is the size of an IPv6 header and a TCP header without options.
 	MaxHeaderBytes = 60
 	hopLimit       = 64
 )
 
-// TruncateToHeaders returns the part of b that names its flow.
+// TruncateToHeaders returns the first bytes of the packet b, at most MaxHeaderBytes. They
+// contain the headers that identify the packet's flow.
 func TruncateToHeaders(b []byte) []byte {
 	return b[:min(len(b), MaxHeaderBytes)]
 }
 
-// BuildUDP writes a UDP packet from src to dst.
+// BuildUDP returns a UDP packet from src to dst.
 func BuildUDP(src, dst netip.AddrPort, payload []byte) ([]byte, error) {
 	udp := &layers.UDP{SrcPort: layers.UDPPort(src.Port()), DstPort: layers.UDPPort(dst.Port())}
 	return build(src, dst, ProtocolUDP, udp, payload)
 }
 
-// BuildHeaders writes the headers of a packet without payload, which name a flow.
+// BuildHeaders returns a packet without payload that identifies the flow from src to dst.
+// A TCP segment has the ACK bit set.
 func BuildHeaders(src, dst netip.AddrPort, proto Protocol) ([]byte, error) {
 	if proto == ProtocolUDP {
 		return BuildUDP(src, dst, nil)
@@ -176,8 +180,8 @@
 	return build(src, dst, ProtocolTCP, tcp, nil)
 }
 
-// BuildReset writes the TCP segment that refuses the flow of p, from its
-// destination to its source (RFC 9293, section 3.10.7.1).
+// BuildReset returns the TCP segment that resets the flow of the segment p. It is sent
+// from the destination of p to its source (RFC 9293, section 3.10.7.1).
 func BuildReset(p *Packet) ([]byte, error) {
 	n := uint32(len(p.Payload))
 	if p.TCPFlags&TCPSyn != 0 {
--- a/internal/request/ip/ip_test.go
+++ b/internal/request/ip/ip_test.go
@@ -24,36 +24,36 @@
 }
 
 var _ = Describe("Decoder", func() {
-	for name, ends := range map[string][2]netip.AddrPort{"IPv4": {src4, dst4}, "IPv6": {src6, dst6}} {
-		It("reads what was built: "+name, func() {
+	for name, endpoints := range map[string][2]netip.AddrPort{"IPv4": {src4, dst4}, "IPv6": {src6, dst6}} {
+		It("decodes a packet that BuildUDP returned: "+name, func() {
 			var d ip.Decoder
 			var p ip.Packet
-			Expect(d.Decode(udp(ends[0], ends[1]), &p)).To(Succeed())
-			Expect(p.Src).To(Equal(ends[0]))
-			Expect(p.Dst).To(Equal(ends[1]))
+			Expect(d.Decode(udp(endpoints[0], endpoints[1]), &p)).To(Succeed())
+			Expect(p.Src).To(Equal(endpoints[0]))
+			Expect(p.Dst).To(Equal(endpoints[1]))
 			Expect(string(p.Payload)).To(Equal("payload"))
 		})
 	}
 
 	for name, tc := range map[string]struct {
-		change func(b []byte) []byte
+		modify func(b []byte) []byte
 		want   error
 	}{
 		"empty":          {func([]byte) []byte { return nil }, ip.ErrTruncated},
-		"cut off":        {func(b []byte) []byte { return b[:len(b)-1] }, ip.ErrTruncated},
+		"truncated":      {func(b []byte) []byte { return b[:len(b)-1] }, ip.ErrTruncated},
 		"version 5":      {func(b []byte) []byte { b[0] = 0x55; return b }, ip.ErrHeader},
 		"more fragments": {func(b []byte) []byte { b[6] = 0x20; return b }, ip.ErrFragment},
 		"later fragment": {func(b []byte) []byte { b[7] = 9; return b }, ip.ErrFragment},
 		"ICMP":           {func(b []byte) []byte { b[9] = 1; return b }, ip.ErrProtocol},
 	} {
-		It("refuses a packet that is "+name, func() {
+		It("refuses a packet: "+name, func() {
 			var d ip.Decoder
 			var p ip.Packet
-			Expect(d.Decode(tc.change(udp(src4, dst4)), &p)).To(MatchError(tc.want))
+			Expect(d.Decode(tc.modify(udp(src4, dst4)), &p)).To(MatchError(tc.want))
 		})
 	}
 
-	It("reads headers whose payload was cut off", func() {
+	It("decodes headers without the payload", func() {
 		var d ip.Decoder
 		var p ip.Packet
 		Expect(d.DecodeHeaders(ip.TruncateToHeaders(udp(src4, dst4))[:28], &p)).To(Succeed())
