--- a/internal/process/experiment/experiment.go
+++ b/internal/process/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment compares policies of placing on patterns of load: it plays each pattern
-// with each policy and several seeds on the emulator, and reports what callers got.
+// Package experiment compares placement policies under patterns of load. It runs the emulator
+// with each pattern, each policy and several seeds, and reports how callers' requests ended.
 package experiment
 
 import (
@@ -12,30 +12,31 @@
 	"github.com/fescueshed/fescueshed/internal/standin/emulator"
 )
 
-// Options are the settings of an experiment. The zero value of Workers is the number of
-// cores.
+// Options are the settings of an experiment.
 type Options struct {
 	Patterns []*emulator.Pattern
 	Policies []emulator.NamedPolicy
-	// Seeds is how many seeds are played, FirstSeed the first of them.
+	// Seeds is the number of seeds, which are consecutive numbers from FirstSeed on.
 	Seeds     int
 	FirstSeed uint64
-	// Workers bounds the plays at once.
+	// Workers is the number of concurrent emulator runs. If it is zero or less, it is the
+	// number of cores.
 	Workers int
-	// Progress is called after each play, one call at a time. It may be nil.
+	// Progress is called after each emulator run, never concurrently. It may be nil.
 	Progress func(done, all int)
 }
 
-// job is one play.
+// job is one emulator run: that of a row with a seed.
 type job struct {
 	row  int
 	seed int
 }
 
-// Run plays everything. If ctx ends before, it returns the error of that.
+// Run runs the emulator with each pattern, policy and seed. The report doesn't depend on
+// the number of workers. If ctx ends earlier, Run returns the context's error.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if len(o.Patterns) == 0 || len(o.Policies) == 0 || o.Seeds < 1 {
-		return nil, eris.New("experiment: at least one pattern, policy and seed are needed")
+		return nil, eris.New("experiment: at least one pattern, one policy and one seed are required")
 	}
 	if o.Workers <= 0 {
 		o.Workers = runtime.GOMAXPROCS(0)
@@ -50,17 +51,19 @@
 	return r.report(), nil
 }
 
-// runner is an experiment under way. mu is a leaf: nothing is locked while it is held.
+// runner is an experiment in progress. mu is a leaf in the lock order: no other lock is taken
+// while it is held.
 type runner struct {
 	opts Options
 	rows []row
 
 	mu   sync.Mutex
 	done int
-	err  error
+	// err is the first error of a run.
+	err error
 }
 
-// row is a pattern with a policy, and its result for each seed.
+// row is a combination of a pattern and a policy, with the result for each seed.
 type row struct {
 	pattern *emulator.Pattern
 	policy  emulator.NamedPolicy
@@ -83,11 +86,11 @@
 	for range r.opts.Workers {
 		wg.Go(func() {
 			for j := range jobs {
-				r.play(j)
+				r.runJob(j)
 			}
 		})
 	}
-	r.hand(ctx, jobs)
+	r.dispatch(ctx, jobs)
 	close(jobs)
 	wg.Wait()
 	if err := ctx.Err(); err != nil {
@@ -96,8 +99,8 @@
 	return r.err
 }
 
-// hand gives all jobs to the workers, until ctx ends.
-func (r *runner) hand(ctx context.Context, jobs chan<- job) {
+// dispatch sends all jobs to the workers. It stops when ctx ends.
+func (r *runner) dispatch(ctx context.Context, jobs chan<- job) {
 	for seed := range r.opts.Seeds {
 		for i := range r.rows {
 			select {
@@ -109,7 +112,8 @@
 	}
 }
 
-func (r *runner) play(j job) {
+// runJob runs the emulator once and stores the result.
+func (r *runner) runJob(j job) {
 	w := &r.rows[j.row]
 	result, err := emulator.Play(w.pattern, emulator.Options{Seed: r.opts.FirstSeed + uint64(j.seed), Policy: w.policy})
 	r.mu.Lock()
--- a/internal/process/experiment/experiment_test.go
+++ b/internal/process/experiment/experiment_test.go
@@ -14,6 +14,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
+// short returns a pattern that comes with the emulator, cut to 2 s and without its events.
 func short(t *testing.T, name string) *emulator.Pattern {
 	t.Helper()
 	p, err := emulator.ReadPattern(os.DirFS("../../standin/emulator/patterns"), name+".hujson")
@@ -38,12 +39,12 @@
 	r, err := experiment.Run(context.Background(), o)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(r.Rows).To(HaveLen(4))
-	g.Expect(r.Rows[0].Asked).To(Equal(r.Rows[1].Asked), "both were asked the same")
+	g.Expect(r.Rows[0].Asked).To(Equal(r.Rows[1].Asked), "both policies got the same requests")
 	o.Workers = 1
 	calls = 0
-	again, err := experiment.Run(context.Background(), o)
+	second, err := experiment.Run(context.Background(), o)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(again).To(Equal(r), "the order of plays changes nothing")
+	g.Expect(second).To(Equal(r), "the order of runs doesn't change the report")
 
 	var table, page bytes.Buffer
 	g.Expect(r.Print(&table)).To(Succeed())
@@ -52,7 +53,7 @@
 	g.Expect(page.String()).To(And(ContainSubstring("<svg"), ContainSubstring("calm"), Not(ContainSubstring("<?xml"))))
 }
 
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunStopsWhenContextIsCanceled(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -62,7 +63,7 @@
 	g.Expect(err).To(MatchError(context.Canceled))
 }
 
-func TestRunWantsSomethingToPlay(t *testing.T) {
+func TestRunRequiresPatternsAndPolicies(t *testing.T) {
 	g := NewWithT(t)
 	_, err := experiment.Run(context.Background(), experiment.Options{Seeds: 1})
 	g.Expect(err).To(HaveOccurred())
--- a/internal/process/experiment/page.go
+++ b/internal/process/experiment/page.go
@@ -15,11 +15,11 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Sizes of a plot.
+// The sizes of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
-	// windowSeconds is the length of the emulator's windows.
+	// windowSeconds is the length of the windows in which the emulator counts requests.
 	windowSeconds = 2
 )
 
@@ -29,12 +29,12 @@
 table { border-collapse: collapse } td, th { padding: 2px 10px; text-align: right; border-bottom: 1px solid #ddd }
 td:first-child, th:first-child { text-align: left }
 </style></head><body>
-<h1>Policies compared</h1>
-<p>Means of {{.Seeds}} seeds, from {{.First}} on. Worth is the part that callers got of what their requests were worth.
-The plots show it by the time at which requests were asked.</p>
+<h1>Comparison of placement policies</h1>
+<p>Means over {{.Seeds}} seeds, the first being {{.First}}. Worth is the share of the total worth of the requests that callers
+obtained. The plots show it by the time at which the requests were sent.</p>
 {{range .Sections}}<h2>{{.Pattern}}</h2>
 <table><tr><th>policy</th><th>worth</th><th>least</th><th>most</th><th>worst windows</th><th>late</th><th>refused</th>
-<th>failed</th><th>shed</th><th>with room elsewhere</th><th>busiest/mean</th></tr>
+<th>failed</th><th>shed</th><th>with free slots elsewhere</th><th>busiest/mean</th></tr>
 {{range .Rows}}<tr><td>{{.Policy}}</td><td>{{printf "%.4f" .Worth.Mean}}</td><td>{{printf "%.4f" .Worth.Least}}</td>
 <td>{{printf "%.4f" .Worth.Most}}</td><td>{{printf "%.4f" .Windows.Mean}}</td><td>{{printf "%.1f" .Late}}</td>
 <td>{{printf "%.1f" .Refused}}</td><td>{{printf "%.1f" .Failed}}</td><td>{{printf "%.1f" .Shed}}</td>
@@ -44,15 +44,15 @@
 {{end}}</body></html>
 `))
 
-// section is what a page says of one pattern.
+// section is the part of a page about one pattern.
 type section struct {
 	Pattern string
 	Rows    []Row
 	Plot    template.HTML
 }
 
-// WritePage writes the report as a page with a plot for each pattern. It needs nothing from
-// elsewhere to be shown.
+// WritePage writes the report as an HTML page with a plot for each pattern. The page is
+// self-contained: it loads no other files.
 func (r *Report) WritePage(to io.Writer) error {
 	data := struct {
 		Seeds    int
@@ -64,13 +64,13 @@
 		if err != nil {
 			return err
 		}
-		// The drawing is made here, from numbers and names of policies.
+		// The SVG needs no escaping: plotRows makes it from numbers and names of policies.
 		data.Sections = append(data.Sections, section{Pattern: rows[0].Pattern, Rows: rows, Plot: template.HTML(svg)}) //nolint:gosec
 	}
 	return eris.Wrap(page.Execute(to, data), "experiment: page")
 }
 
-// byPattern returns the rows of each pattern, in their order.
+// byPattern returns the rows grouped by pattern, in their order.
 func (r *Report) byPattern() [][]Row {
 	var out [][]Row
 	for _, row := range r.Rows {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// plotRows draws the worth of each window, a line for each policy.
+// plotRows returns an SVG plot of the worth of each window, with one line per policy.
 func plotRows(rows []Row) (string, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "worth"
@@ -117,7 +117,8 @@
 	return out
 }
 
-// withoutProlog cuts off what stands before the svg element, which a page can't have within.
+// withoutProlog removes everything before the svg element, such as the XML declaration, which isn't
+// allowed inside an HTML page.
 func withoutProlog(svg string) string {
 	if i := strings.Index(svg, "<svg"); i > 0 {
 		return svg[i:]
--- a/internal/process/experiment/report.go
+++ b/internal/process/experiment/report.go
@@ -8,42 +8,42 @@
 	"github.com/fescueshed/fescueshed/internal/standin/emulator"
 )
 
-// Report is what an experiment found.
+// Report is the result of an experiment.
 type Report struct {
-	// Seeds are those played, from First on.
+	// Seeds is the number of seeds, First the first of them.
 	Seeds int
 	First uint64
 	Rows  []Row
 }
 
-// Row is one pattern with one policy, over all seeds.
+// Row is the result of one pattern with one policy, over all seeds.
 type Row struct {
 	Pattern, Policy string
-	// Worth is the part of the requests' worth that callers got, Windows that of the two
-	// windows of 2 s that got least.
+	// Worth is the share of the total worth of the requests that callers obtained. Windows is
+	// the same for the two worst windows of 2 s.
 	Worth, Windows Spread
-	// Asked and the rest count requests, as means of a play.
+	// Asked and the others are numbers of requests per emulator run, as means over the seeds.
 	Asked, InTime, Late, Refused, Failed float64
-	// Shed counts requests that an upstream had no room for, ShedWithRoom those of them for
-	// which another one had.
+	// Shed counts requests for which an upstream had no free slot, ShedWithRoom those of them
+	// for which another upstream had one.
 	Shed, ShedWithRoom float64
-	// BusiestOverMean is the largest number of requests of one upstream over the mean of its
-	// service and zone.
+	// BusiestOverMean is the largest number of requests of one upstream, divided by the mean
+	// of its service and zone.
 	BusiestOverMean Spread
-	// ByWindow is the worth of each window of 2 s, as a mean.
+	// ByWindow is the worth of each window of 2 s, as a mean over the seeds.
 	ByWindow []float64
 }
 
-// Spread is a figure over several seeds.
+// Spread is the mean, minimum and maximum of a metric over several seeds.
 type Spread struct {
 	Mean, Least, Most float64
 }
 
-func spreadOf(list []*emulator.Result, figure func(*emulator.Result) float64) Spread {
-	s := Spread{Least: figure(list[0]), Most: figure(list[0])}
-	for _, r := range list {
-		v := figure(r)
-		s.Mean += v / float64(len(list))
+func spreadOf(results []*emulator.Result, metric func(*emulator.Result) float64) Spread {
+	s := Spread{Least: metric(results[0]), Most: metric(results[0])}
+	for _, r := range results {
+		v := metric(r)
+		s.Mean += v / float64(len(results))
 		s.Least, s.Most = min(s.Least, v), max(s.Most, v)
 	}
 	return s
@@ -52,14 +52,14 @@
 func (r *runner) report() *Report {
 	out := &Report{Seeds: r.opts.Seeds, First: r.opts.FirstSeed}
 	for i := range r.rows {
-		out.Rows = append(out.Rows, r.rows[i].sum())
+		out.Rows = append(out.Rows, r.rows[i].summarize())
 	}
 	return out
 }
 
-func (w *row) sum() Row {
-	mean := func(figure func(*emulator.Result) int) float64 {
-		return spreadOf(w.results, func(r *emulator.Result) float64 { return float64(figure(r)) }).Mean
+func (w *row) summarize() Row {
+	mean := func(metric func(*emulator.Result) int) float64 {
+		return spreadOf(w.results, func(r *emulator.Result) float64 { return float64(metric(r)) }).Mean
 	}
 	out := Row{
 		Pattern: w.pattern.Name, Policy: w.policy.Name,
@@ -83,13 +83,13 @@
 // Print writes the report as a table.
 func (r *Report) Print(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	const head = "PATTERN\tPOLICY\tWORTH\tLEAST\tMOST\tWORST WINDOWS\tASKED\tLATE\tREFUSED\tFAILED\tSHED\tWITH ROOM\tBUSIEST/MEAN"
-	fmt.Fprintln(w, head)
+	const header = "PATTERN\tPOLICY\tWORTH\tLEAST\tMOST\tWORST WINDOWS\tASKED\tLATE\tREFUSED\tFAILED\tSHED\tFREE SLOTS\tBUSIEST/MEAN"
+	fmt.Fprintln(w, header)
 	for i := range r.Rows {
-		s := &r.Rows[i]
+		row := &r.Rows[i]
 		fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%.4f\t%.4f\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\n",
-			s.Pattern, s.Policy, s.Worth.Mean, s.Worth.Least, s.Worth.Most, s.Windows.Mean,
-			s.Asked, s.Late, s.Refused, s.Failed, s.Shed, s.ShedWithRoom, s.BusiestOverMean.Mean)
+			row.Pattern, row.Policy, row.Worth.Mean, row.Worth.Least, row.Worth.Most, row.Windows.Mean,
+			row.Asked, row.Late, row.Refused, row.Failed, row.Shed, row.ShedWithRoom, row.BusiestOverMean.Mean)
 	}
 	return w.Flush()
 }
