--- a/internal/process/capacity/bundle.go
+++ b/internal/process/capacity/bundle.go
@@ -8,8 +8,9 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// bundleOf makes a bundle of so many services, each with addresses and upstreams.
-func bundleOf(services, addresses, upstreams int) *bundle.Bundle {
+// newBundle returns a bundle with the given number of services, each with the given numbers
+// of addresses and upstreams.
+func newBundle(services, addresses, upstreams int) *bundle.Bundle {
 	b := &bundle.Bundle{}
 	n := 0
 	for i := range services {
@@ -23,7 +24,7 @@
 		for range upstreams {
 			n++
 			s.Upstreams = append(s.Upstreams, bundle.Upstream{
-				Name: fmt.Sprint("upstream-", n), Zone: bundle.Zone(fmt.Sprint(n % upstreamZone)),
+				Name: fmt.Sprint("upstream-", n), Zone: bundle.Zone(fmt.Sprint(n % zoneCount)),
 				Slots: 3, Connections: 2000,
 				Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{20, byte(n >> 16), byte(n >> 8), byte(n)}), 6081),
 			})
@@ -33,17 +34,18 @@
 	return b
 }
 
+// serviceAddress returns the i-th address of a service; the first one is serviceVIP.
 func serviceAddress(i int) netip.AddrPort {
 	if i == 0 {
-		return serviceAt
+		return serviceVIP
 	}
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{30, byte(i >> 16), byte(i >> 8), byte(i)}), serviceAt.Port())
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{30, byte(i >> 16), byte(i >> 8), byte(i)}), serviceVIP.Port())
 }
 
-func encode(b *bundle.Bundle) []byte {
+func encodeBundle(b *bundle.Bundle) []byte {
 	src, err := json.MarshalIndent(b, "", "  ")
 	if err != nil {
-		panic(err) // Bundles always encode.
+		panic(err) // A bundle can always be encoded.
 	}
 	return src
 }
--- a/internal/process/capacity/measure.go
+++ b/internal/process/capacity/measure.go
@@ -16,56 +16,60 @@
 )
 
 const (
-	warmUp       = 30 * time.Second
-	controlTime  = 10 * time.Second
-	timedRounds  = 200_000
-	upstreamZone = 3
-	secret       = "secret of the measurement"
+	// warmUpTime bounds the time until all members agree, in the network's own time.
+	warmUpTime = 30 * time.Second
+	// measuredTime is how long messages are counted, in the network's own time.
+	measuredTime = 10 * time.Second
+	// timedRounds is how often a short operation is repeated.
+	timedRounds = 200_000
+	zoneCount   = 3
+	secret      = "secret of the measurement"
 )
 
-// control measures what membership costs each member, by the size of its cell:
-// bytes sent, and processor time with encoding, decoding and views.
-func control(sizes []int) (bytes, cpu Slope) {
+// measureControl measures the cost of the membership protocol for each member, by the size of
+// its cell: bytes sent, and processor time including encoding, decoding and building views.
+func measureControl(sizes []int) (bytes, cpu Slope) {
 	bytes = Slope{Name: "control-bytes", SizeUnit: "members of a cell", CostUnit: "B/s sent per daemon"}
 	cpu = Slope{Name: "control-cpu", SizeUnit: "members of a cell", CostUnit: "µs/s per daemon"}
 	for _, n := range sizes {
 		w := links.New(n, 1)
-		w.Until(warmUp, w.Agreed)
-		w.Run(warmUp / 3)
+		w.Until(warmUpTime, w.Agreed)
+		w.Run(warmUpTime / 3)
 		for _, m := range w.Members {
 			m.SetFlows(flowCounts())
 		}
 		w.Measured = true
 		began := time.Now()
-		w.Run(controlTime)
+		w.Run(measuredTime)
 		took := time.Since(began)
 		sum := 0
 		for _, m := range w.Members {
 			sum += m.Bytes
 		}
-		perMember := float64(n) * controlTime.Seconds()
+		perMember := float64(n) * measuredTime.Seconds()
 		bytes.Points = append(bytes.Points, Point{float64(n), float64(sum) / perMember})
-		// Encoding is measured; decoding costs about as much again.
+		// The network encodes messages only to count their bytes and never decodes them.
+		// Decoding costs about as much as encoding, so the time is doubled.
 		cpu.Points = append(cpu.Points, Point{float64(n), 2 * float64(took.Microseconds()) / perMember})
 	}
 	return bytes, cpu
 }
 
-// flowCounts are as many and as large as a daemon's are at the size to design for.
+// flowCounts returns flow counts, as many and as large as those of a daemon at the design size.
 func flowCounts() []uint32 {
-	perHome := float64(flowsPerCell) / upstreamsPerCell / cellMembers
+	flowsPerOwner := float64(flowsPerCell) / upstreamsPerCell / cellMembers
 	counts := make([]uint32, upstreamsPerCell)
 	for i := range counts {
-		counts[i] = uint32(perHome)
+		counts[i] = uint32(flowsPerOwner)
 	}
 	return counts
 }
 
-// rank measures finding a flow's home.
-func rank(sizes []int) Slope {
+// measureRank measures the time to determine a flow's owner.
+func measureRank(sizes []int) Slope {
 	s := Slope{Name: "rank", SizeUnit: "members of a cell", CostUnit: "ns"}
 	for _, n := range sizes {
-		v := viewOf(n)
+		v := newView(n)
 		began := time.Now()
 		for i := range timedRounds {
 			v.Owner(peer.FlowHash(i * 7919))
@@ -75,22 +79,23 @@
 	return s
 }
 
-func viewOf(n int) *peer.View {
+// newView returns a view of n members.
+func newView(n int) *peer.View {
 	members := make([]peer.Member, n)
 	for i := range members {
 		members[i] = peer.Member{
-			ID: peer.IDOf(fmt.Sprint("host-", i)), Zone: bundle.Zone(fmt.Sprint(i % upstreamZone)),
+			ID: peer.IDOf(fmt.Sprint("host-", i)), Zone: bundle.Zone(fmt.Sprint(i % zoneCount)),
 			Data: netip.AddrPortFrom(links.ControlAt(i).Addr(), 6081),
 		}
 	}
 	return peer.NewView(members[0].ID, members, peer.Changes{})
 }
 
-// table measures the memory of flow records.
-func table(sizes []int) Slope {
+// measureTable measures the memory of flow records by their number.
+func measureTable(sizes []int) Slope {
 	s := Slope{Name: "flow-memory", SizeUnit: "flows", CostUnit: "bytes of heap"}
 	for _, n := range sizes {
-		before := heap()
+		before := heapBytes()
 		t := caller.NewTable()
 		for i := range uint32(n) {
 			k := caller.Key{CallerPort: uint16(i), ServicePort: uint16(i >> 16), VNIProtocol: 1}
@@ -99,38 +104,40 @@
 				return true
 			})
 		}
-		s.Points = append(s.Points, Point{float64(n), float64(heap() - before)})
+		s.Points = append(s.Points, Point{float64(n), float64(heapBytes() - before)})
 		runtime.KeepAlive(t)
 	}
 	return s
 }
 
-func heap() int64 {
+// heapBytes returns the size of the live heap after a garbage collection.
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// decide measures a packet of a known flow at its home, by the number of flows.
-func decide(sizes []int) Slope {
+// measureDecide measures the time to handle a packet of a known flow at its owner, by the number
+// of flows.
+func measureDecide(sizes []int) Slope {
 	s := Slope{Name: "decide", SizeUnit: "flows", CostUnit: "ns"}
 	for _, n := range sizes {
-		e, key, from := loneEngine()
+		e, key, from := newEngine()
 		b := newPacket()
 		now := time.Now()
 		var d caller.Decoder
 		var out []caller.Output
-		one := func(i int) {
+		handle := func(i int) {
 			p, _ := d.Decode(e, key, from, b.flow(i%n))
 			out, _ = e.Handle(now, p, out[:0])
 		}
 		for i := range n {
-			one(i)
+			handle(i)
 		}
 		began := time.Now()
 		for i := range timedRounds {
-			one(i * 7919)
+			handle(i * 7919)
 		}
 		s.Points = append(s.Points, Point{float64(n), float64(time.Since(began).Nanoseconds()) / timedRounds})
 	}
@@ -138,21 +145,22 @@
 }
 
 var (
-	fabricAt  = netip.MustParseAddrPort("192.0.2.1:6081")
-	serviceAt = netip.MustParseAddrPort("198.51.100.1:5683")
+	fabricAddr = netip.MustParseAddrPort("192.0.2.1:6081")
+	serviceVIP = netip.MustParseAddrPort("198.51.100.1:5683")
 )
 
-func loneEngine() (*caller.Engine, *geneve.Key, netip.Addr) {
-	e := caller.NewEngine(caller.Options{Self: 1, Fabrics: []netip.AddrPort{fabricAt}, Start: time.Now().Add(-time.Second)})
-	e.SetRouting(bundle.NewRouting(1, bundleOf(1, 1, 14), nil))
-	return e, geneve.NewKey([]byte(secret)), fabricAt.Addr()
+// newEngine returns the engine of a daemon without other members, its key, and the fabric's address.
+func newEngine() (*caller.Engine, *geneve.Key, netip.Addr) {
+	e := caller.NewEngine(caller.Options{Self: 1, Fabrics: []netip.AddrPort{fabricAddr}, Start: time.Now().Add(-time.Second)})
+	e.SetRouting(bundle.NewRouting(1, newBundle(1, 1, 14), nil))
+	return e, geneve.NewKey([]byte(secret)), fabricAddr.Addr()
 }
 
-// packet is an empty CoAP acknowledgement of any flow.
+// packet is an empty CoAP acknowledgement whose flow can be set.
 type packet struct{ b []byte }
 
 func newPacket() *packet {
-	inner, err := ip.BuildUDP(netip.MustParseAddrPort("10.0.0.0:1000"), serviceAt, []byte{0x60, 0, 0, 1})
+	inner, err := ip.BuildUDP(netip.MustParseAddrPort("10.0.0.0:1000"), serviceVIP, []byte{0x60, 0, 0, 1})
 	if err != nil {
 		panic(err) // Both addresses are IPv4.
 	}
@@ -160,21 +168,23 @@
 	return &packet{b: geneve.Append(nil, &h, nil, inner)}
 }
 
+// flow sets the source address by the number of a flow and returns the packet. It overwrites the
+// bytes that an earlier call returned.
 func (p *packet) flow(i int) []byte {
 	const sourceAddress = geneve.HeaderBytes + 12
 	copy(p.b[sourceAddress:], []byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 	return p.b
 }
 
-// place measures the choice of an upstream.
-func place(sizes []int) Slope {
+// measurePlacement measures the time to choose an upstream, by the number of upstreams.
+func measurePlacement(sizes []int) Slope {
 	s := Slope{Name: "place", SizeUnit: "upstreams of a service", CostUnit: "ns"}
 	for _, n := range sizes {
-		t := bundle.NewRouting(1, bundleOf(1, 1, n), nil)
-		board := upstream.NewLoadTable()
+		t := bundle.NewRouting(1, newBundle(1, 1, n), nil)
+		loads := upstream.NewLoadTable()
 		candidates := make([]upstream.Candidate, 0, n)
 		for _, u := range t.Upstreams() {
-			candidates = append(candidates, upstream.Candidate{Route: u, Load: board.Load(u.ID)})
+			candidates = append(candidates, upstream.Candidate{Route: u, Load: loads.Load(u.ID)})
 		}
 		const rounds = timedRounds / 10
 		began := time.Now()
@@ -186,34 +196,35 @@
 	return s
 }
 
-// load measures decoding, checking and routing a bundle: time, memory, size.
-func load(sizes []int) (took, memory, size Slope) {
-	took = Slope{Name: "bundle-time", SizeUnit: "upstreams", CostUnit: "ms"}
+// measureBundle measures, by the number of upstreams, the time to decode and check a bundle and
+// to build its routing, the memory of the result, and the encoded size.
+func measureBundle(sizes []int) (duration, memory, size Slope) {
+	duration = Slope{Name: "bundle-time", SizeUnit: "upstreams", CostUnit: "ms"}
 	memory = Slope{Name: "bundle-memory", SizeUnit: "upstreams", CostUnit: "bytes of heap"}
 	size = Slope{Name: "bundle-size", SizeUnit: "upstreams", CostUnit: "bytes"}
 	for _, n := range sizes {
-		before := heap()
-		t, elapsed, bytes := loadOne(n)
-		after := heap()
+		before := heapBytes()
+		t, elapsed, bytes := loadBundle(n)
+		after := heapBytes()
 		runtime.KeepAlive(t)
-		took.Points = append(took.Points, Point{float64(n), float64(elapsed.Microseconds()) / 1000})
+		duration.Points = append(duration.Points, Point{float64(n), float64(elapsed.Microseconds()) / 1000})
 		memory.Points = append(memory.Points, Point{float64(n), float64(after - before)})
 		size.Points = append(size.Points, Point{float64(n), float64(bytes)})
 	}
-	return took, memory, size
+	return duration, memory, size
 }
 
-// loadOne makes a bundle of n upstreams and puts it through all that a daemon
-// does with it.
-func loadOne(n int) (t *bundle.Routing, took time.Duration, bytes int) {
+// loadBundle builds a bundle of n upstreams and processes it as a daemon does. It returns the
+// routing, the time for processing, and the encoded size.
+func loadBundle(n int) (t *bundle.Routing, duration time.Duration, bytes int) {
 	const perService = 14
 	services := max(1, n/perService)
 	addresses := max(1, n*serviceAddresses/fleetUpstreams/services)
-	src := encode(bundleOf(services, addresses, perService))
+	src := encodeBundle(newBundle(services, addresses, perService))
 	began := time.Now()
 	b, err := bundle.Decode("bundle", src)
 	if err != nil {
-		panic(err) // It was made here.
+		panic(err) // The bundle was built by this package.
 	}
 	t = bundle.NewRouting(1, b, nil)
 	return t, time.Since(began), len(src)
--- a/internal/process/capacity/rows.go
+++ b/internal/process/capacity/rows.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The size to design for.
+// The design size: the numbers for which the rows are calculated.
 const (
 	fleetDaemons     = 16_000
 	fleetUpstreams   = 110_000
@@ -13,50 +13,54 @@
 	daySeconds       = 86_400.0
 )
 
-// Limits of control for one daemon.
+// The limits for the control traffic and state of one daemon: bytes per second, processor time
+// and memory in bytes.
 const (
 	limitBytes  = 3000
-	limitCPU    = 36_000 // µs a second: 3.6 % of a core.
+	limitCPU    = 36_000 // µs per second: 3.6 % of a core.
 	limitMemory = 64e6
 )
 
-// cellMembers is how many daemons share the addresses of a cell. All that a
-// daemon knows and says stays within its cell.
+// cellMembers is how many daemons share the addresses of a cell. A daemon exchanges
+// messages and shares state only within its cell.
 const cellMembers = 32
 
 const (
-	cells            = fleetDaemons / cellMembers
-	upstreamsPerCell = fleetUpstreams / cells
-	flowsPerCell     = fleetFlows / cells
-	newFlowsPerCell  = fleetNewFlows / cells
-	// holders of one flow: its home and a keeper in each zone of the cell.
-	holders = 4
-	// watchers of a cell: two for each of its three zones.
-	watchers = 6
-	// tellBytes is a told record with all headers and its confirmation.
-	tellBytes = 2 * 128
-	// cellZones is how many zones a cell spreads over, fleetZones how many there are.
+	fleetCells       = fleetDaemons / cellMembers
+	upstreamsPerCell = fleetUpstreams / fleetCells
+	flowsPerCell     = fleetFlows / fleetCells
+	newFlowsPerCell  = fleetNewFlows / fleetCells
+	// copiesPerFlow is the number of daemons with a flow's record: its owner, and a replica in
+	// each zone of the cell.
+	copiesPerFlow = 4
+	// watchersPerCell is two watchers for each of a cell's three zones.
+	watchersPerCell = 6
+	// replicationBytes is the size of a record sent to a replica and of its confirmation, with all
+	// headers.
+	replicationBytes = 2 * 128
+	// cellZones is the number of zones of a cell, fleetZones that of the fleet.
 	cellZones  = 3
 	fleetZones = 10
-	// flowsPerDaemon pass each daemon of the cookie's carriage.
+	// flowsPerDaemon is the number of flows through each daemon of the forwarding mode with cookies.
 	flowsPerDaemon   = fleetFlows / fleetDaemons
 	flowsPerUpstream = int(fleetFlows) / fleetUpstreams
-	// viewsPerRestart: it leaves, is gone, and is back.
+	// viewsPerRestart is the number of new views when a member restarts: it leaves, is removed, and
+	// joins again.
 	viewsPerRestart = 3
-	// packetsPerFlow is assumed: a feed's flow carries one packet a second.
+	// packetsPerFlow is the number of packets per second of a flow: that of a feed, by assumption.
 	packetsPerFlow = 1
 )
 
-// Measure runs all measurements and works the rows out. It takes about a minute
-// and stays under 2 GB.
+// Measure runs all measurements and calculates the rows. It takes about a minute and
+// needs less than 2 GB of memory.
 func Measure() *Report {
-	bytes, cpu := control([]int{9, 16, 32})
-	ranks := rank([]int{9, 32, 100, 1600})
-	memory := table([]int{50_000, 100_000, 200_000, 500_000})
-	decides := decide([]int{1000, 10_000, 100_000})
-	places := place([]int{14, 100, 220, 1000})
-	took, heap, size := load([]int{220, 2200, 22_000, 110_000})
-	r := &Report{Slopes: []Slope{bytes, cpu, ranks, memory, decides, places, took, heap, size}}
+	bytes, cpu := measureControl([]int{9, 16, 32})
+	ranks := measureRank([]int{9, 32, 100, 1600})
+	memory := measureTable([]int{50_000, 100_000, 200_000, 500_000})
+	decides := measureDecide([]int{1000, 10_000, 100_000})
+	places := measurePlacement([]int{14, 100, 220, 1000})
+	duration, bundleHeap, size := measureBundle([]int{220, 2200, 22_000, 110_000})
+	r := &Report{Slopes: []Slope{bytes, cpu, ranks, memory, decides, places, duration, bundleHeap, size}}
 	r.Slopes = append(r.Slopes, cookieSlopes()...)
 	for i := range r.Slopes {
 		r.Slopes[i].fit()
@@ -65,70 +69,71 @@
 	return r
 }
 
-// cookieSlopes are those of the carriage by cookie.
+// cookieSlopes returns the slopes of the forwarding mode with cookies, not fitted yet.
 func cookieSlopes() []Slope {
-	decides, flows := cookiePackets([]int{1000, 10_000, 100_000})
-	places, changes, upstreams := cookieUpstreams([]int{220, 2200, 22_000, 110_000})
-	views, members := cookieMembers([]int{32, 100, 1600, 16_000})
-	news, sums := cookieBytes()
-	gossip := cookieGossip([]int{9, 16, 32})
-	return []Slope{decides, flows, places, changes, upstreams, views, members, news, sums, gossip}
+	decides, flows := measureCookiePackets([]int{1000, 10_000, 100_000})
+	places, changes, upstreams := measureCookieUpstreams([]int{220, 2200, 22_000, 110_000})
+	views, members := measureCookieMembers([]int{32, 100, 1600, 16_000})
+	advertisements, sums := measureCookieBytes()
+	gossip := measureCookieGossip([]int{9, 16, 32})
+	return []Slope{decides, flows, places, changes, upstreams, views, members, advertisements, sums, gossip}
 }
 
+// slope returns the slope with the given name, which must exist.
 func (r *Report) slope(name string) *Slope {
 	for i := range r.Slopes {
 		if r.Slopes[i].Name == name {
 			return &r.Slopes[i]
 		}
 	}
-	panic("no slope is named " + name)
+	panic("capacity: no slope is named " + name)
 }
 
 func rows(r *Report) []Row {
-	at := func(name string, size float64) float64 { return r.slope(name).CostAt(size) }
-	near := func(name string, size float64) float64 { return r.slope(name).NearestCost(size) }
-	out := daemonRows(at, near)
-	out = append(out, flowRows(at)...)
-	out = append(out, platformRows(at)...)
-	return append(out, cookieRows(at, near)...)
+	costAt := func(name string, size float64) float64 { return r.slope(name).CostAt(size) }
+	nearestCost := func(name string, size float64) float64 { return r.slope(name).NearestCost(size) }
+	out := daemonRows(costAt, nearestCost)
+	out = append(out, flowRows(costAt)...)
+	out = append(out, platformRows(costAt)...)
+	return append(out, cookieRows(costAt, nearestCost)...)
 }
 
-// daemonRows are what every daemon pays for being one.
-func daemonRows(at, near func(name string, size float64) float64) []Row {
+// daemonRows returns the costs that every daemon has, whatever flows it handles.
+func daemonRows(costAt, nearestCost func(name string, size float64) float64) []Row {
 	return []Row{
 		{
-			"every daemon", "control bytes", "probes round a ring within the cell; counts of flows ride on them",
-			at("control-bytes", cellMembers), "B/s", limitBytes, "fitted: control-bytes",
+			"every daemon", "control bytes", "probes around a ring within the cell; they carry flow counts",
+			costAt("control-bytes", cellMembers), "B/s", limitBytes, "fitted: control-bytes",
 		},
 		{
-			"every daemon", "control processor time", "one probe each 250 ms; views made only on change",
-			at("control-cpu", cellMembers), "µs/s", limitCPU, "fitted: control-cpu",
+			"every daemon", "control processor time", "one probe every 250 ms; views are built only on change",
+			costAt("control-cpu", cellMembers), "µs/s", limitCPU, "fitted: control-cpu",
 		},
 		{
-			"every daemon", "memory of the cell's bundle", "a daemon holds its cell's part only",
-			at("bundle-memory", upstreamsPerCell), "B", limitMemory, "fitted: bundle-memory; parts by cell are not built yet",
+			"every daemon", "memory of the cell's bundle", "a daemon holds only its cell's part",
+			costAt("bundle-memory", upstreamsPerCell), "B", limitMemory, "fitted: bundle-memory; parts by cell aren't implemented yet",
 		},
 		{
-			"every daemon", "time to put a cell's part in force", "checked, then swapped in whole",
-			near("bundle-time", upstreamsPerCell), "ms", 7000, "measured: bundle-time",
+			"every daemon", "time to put a cell's part in force", "checked, then replaced as a whole",
+			nearestCost("bundle-time", upstreamsPerCell), "ms", 7000, "measured: bundle-time",
 		},
 	}
 }
 
-// flowRows are what flows cost those who decide for them and keep their records.
-func flowRows(at func(name string, size float64) float64) []Row {
-	flows := float64(flowsPerCell) * holders / cellMembers
+// flowRows returns the costs of flows for the daemons that decide for them and hold their records.
+func flowRows(costAt func(name string, size float64) float64) []Row {
+	flows := float64(flowsPerCell) * copiesPerFlow / cellMembers
 	placements := float64(newFlowsPerCell)
-	decide := at("decide", flows)
-	moved := flows / holders * (float64(restartsADay) + failuresADay) / fleetDaemons / daySeconds * cellMembers
+	decideCost := costAt("decide", flows)
+	moved := flows / copiesPerFlow * (float64(restartsADay) + failuresADay) / fleetDaemons / daySeconds * cellMembers
 	return []Row{
 		{
-			"home, backup, replicas", "flow records", "home and one keeper in each of three zones",
-			flows, "records", 0, "worked out; 3 zones a cell assumed",
+			"home, backup, replicas", "flow records", "owner and one replica in each of three zones",
+			flows, "records", 0, "calculated; 3 zones per cell assumed",
 		},
 		{
 			"home, backup, replicas", "memory of records", "open addressing over chunks of 72-byte entries",
-			at("flow-memory", flows), "B", 0, "fitted: flow-memory",
+			costAt("flow-memory", flows), "B", 0, "fitted: flow-memory",
 		},
 		{
 			"home, backup, replicas", "control bytes for new flows", "the first packet itself carries the record",
@@ -136,47 +141,47 @@
 		},
 		{
 			"home, backup, replicas", "records told after restarts and failures, mean", "paced sweeps; each flow of a changed member once",
-			moved * tellBytes, "B/s", 0, "worked out: restarts and failures of a cell",
+			moved * replicationBytes, "B/s", 0, "calculated: restarts and failures of a cell",
 		},
 		{
-			"ingress and home", "processor time of packets, one packet a second and flow", "ranking and one look-up",
-			(decide + at("rank", cellMembers)) * 2 * fleetFlows * packetsPerFlow / fleetDaemons / 1000, "µs/s", 0,
+			"ingress and home", "processor time of packets, one packet a second and flow", "ranking and one lookup",
+			(decideCost + costAt("rank", cellMembers)) * 2 * fleetFlows * packetsPerFlow / fleetDaemons / 1000, "µs/s", 0,
 			"fitted: decide, rank; packets per flow assumed",
 		},
 		{
 			"placer (one daemon for each service)", "processor time if it has all services of its cell",
-			"least flows per slot over the cell",
-			placements * at("place", upstreamsPerCell) / 1000, "µs/s", 0, "fitted: place",
+			"fewest flows per slot in the cell",
+			placements * costAt("place", upstreamsPerCell) / 1000, "µs/s", 0, "fitted: place",
 		},
 	}
 }
 
-// platformRows are what the platform and its operators see.
-func platformRows(at func(name string, size float64) float64) []Row {
+// platformRows returns the costs for the platform and its operators.
+func platformRows(costAt func(name string, size float64) float64) []Row {
 	return []Row{
 		{
-			"operator's command", "size of the whole bundle", "one object of at most 1 MiB today",
-			at("bundle-size", fleetUpstreams), "B", 1 << 20, "fitted: bundle-size",
+			"operator's command", "size of the whole bundle", "currently one object of at most 1 MiB",
+			costAt("bundle-size", fleetUpstreams), "B", 1 << 20, "fitted: bundle-size",
 		},
 		{
 			"operator's command", "time to check the whole bundle", "all findings in one pass",
-			at("bundle-time", fleetUpstreams), "ms", 7000, "measured: bundle-time",
+			costAt("bundle-time", fleetUpstreams), "ms", 7000, "measured: bundle-time",
 		},
 		{
-			"platform", "watches", "two watchers for each zone of a cell; long polling that ends after 10 s",
-			cells * watchers / 10.0, "calls/s", 2000, "worked out",
+			"platform", "watches", "two watchers per zone of a cell; long polls that end after 10 s",
+			fleetCells * watchersPerCell / 10.0, "calls/s", 2000, "calculated",
 		},
 		{
-			"platform", "reads after a change that concerns all cells", "only watchers read; peers pass bundles on",
-			cells * watchers, "calls", 2000 * 7, "worked out: 7 s at 2000 reads a second",
+			"platform", "reads after a change that concerns all cells", "only watchers read; other members fetch bundles from peers",
+			fleetCells * watchersPerCell, "calls", 2000 * 7, "calculated: 7 s at 2000 reads per second",
 		},
 		{
-			"platform", "reads of the list of hosts", "each daemon once a minute when it knows others",
-			fleetDaemons / 60.0, "calls/s", 2000, "worked out",
+			"platform", "reads of the list of hosts", "each daemon once per minute when it knows other members",
+			fleetDaemons / 60.0, "calls/s", 2000, "calculated",
 		},
 		{
 			"platform", "writes", "one for each change",
-			changesADay / daySeconds, "calls/s", 300, "worked out",
+			changesADay / daySeconds, "calls/s", 300, "calculated",
 		},
 	}
 }
--- a/internal/process/capacity/slope.go
+++ b/internal/process/capacity/slope.go
@@ -1,6 +1,6 @@
-// Package capacity measures on one machine what the parts of a daemon cost at
-// several sizes, and fits slopes by which the cost at the size to design for is
-// worked out. docs/CAPACITY.md is made from its output.
+// Package capacity measures on one machine the costs of the parts of a daemon at several
+// sizes, and fits a line through each series. From these it calculates the costs at the
+// design size. Its output is the source of the published capacity figures.
 package capacity
 
 import (
@@ -12,24 +12,24 @@
 
 // Point is one measurement.
 type Point struct {
-	// Size is what was varied, Cost what it took.
+	// Size is the number that was varied, Cost the cost measured at it.
 	Size, Cost float64
 }
 
-// Slope is a series of measurements with a line fitted through them.
+// Slope is a series of measurements of one cost, with a line fitted through it.
 type Slope struct {
 	Name string
-	// SizeUnit and CostUnit say what is counted.
+	// SizeUnit and CostUnit are the units of the points' sizes and costs.
 	SizeUnit, CostUnit string
 	Points             []Point
 	// PerSize and Fixed describe the line: cost = Fixed + PerSize * size.
 	PerSize, Fixed float64
-	// Fit is the coefficient of determination, 1 for points on a line. It tells
-	// little where the cost doesn't depend on the size.
+	// Fit is the coefficient of determination, which is 1 for points on a line. It means
+	// little if the cost doesn't depend on the size.
 	Fit float64
 }
 
-// fit lays the line through the points by least squares.
+// fit fits the line to the points by least squares.
 func (s *Slope) fit() {
 	n := float64(len(s.Points))
 	var sx, sy, sxx, sxy float64
@@ -43,20 +43,20 @@
 		s.PerSize = (n*sxy - sx*sy) / d
 	}
 	s.Fixed = (sy - s.PerSize*sx) / n
-	var rest, all float64
+	var residual, total float64
 	for _, p := range s.Points {
-		off, spread := p.Cost-s.CostAt(p.Size), p.Cost-sy/n
-		rest += off * off
-		all += spread * spread
+		deviation, spread := p.Cost-s.CostAt(p.Size), p.Cost-sy/n
+		residual += deviation * deviation
+		total += spread * spread
 	}
 	s.Fit = 1
-	if all > 0 {
-		s.Fit = 1 - rest/all
+	if total > 0 {
+		s.Fit = 1 - residual/total
 	}
 }
 
-// NearestCost returns the cost measured at the size nearest to the given one, for sizes
-// at which the line's fixed part would hide the rest.
+// NearestCost returns the cost measured at the size nearest to the given one. Use it for
+// sizes at which the line's fixed part would dominate its result.
 func (s *Slope) NearestCost(size float64) float64 {
 	best := s.Points[0]
 	for _, p := range s.Points {
@@ -67,25 +67,26 @@
 	return best.Cost
 }
 
-// CostAt returns the cost that the line gives for a size.
+// CostAt returns the cost at a size according to the fitted line.
 func (s *Slope) CostAt(size float64) float64 {
 	return s.Fixed + s.PerSize*size
 }
 
-// Report is all that was measured.
+// Report holds all measurements and the costs calculated from them.
 type Report struct {
 	Slopes []Slope
 	Rows   []Row
 }
 
-// Row is one cost at the size to design for.
+// Row is one cost at the design size.
 type Row struct {
 	Role, What, Mechanism string
 	Value                 float64
 	Unit                  string
 	// Limit is zero if there is none.
 	Limit float64
-	// Basis is "measured", "fitted" or "assumed", with the slope's name.
+	// Basis says how Value was determined: "measured" or "fitted" with the names of slopes,
+	// "calculated" or "by design", and what was assumed for it.
 	Basis string
 }
 
