--- a/internal/process/daemon/admin.go
+++ b/internal/process/daemon/admin.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Status returns the daemon's present state.
+// Status returns the daemon's current state.
 func (d *Daemon) Status() status.Status {
 	s := status.Status{
 		Name:         d.cfg.Name,
@@ -73,7 +73,7 @@
 	}
 	if t := d.engine.Routing(); t != nil {
 		s.Upstreams = d.upstreamStatus(t)
-		s.Evacuated = d.evacuated.status(s.Upstreams)
+		s.Evacuated = d.evacuations.status(s.Upstreams)
 	}
 	for c := 1; c < caller.NumCauses; c++ {
 		if n := d.engine.Counters.Drops[c].Load(); n > 0 {
@@ -102,7 +102,7 @@
 	return out
 }
 
-// metricSet names the counters by Prometheus conventions.
+// metricSet returns the daemon's metrics, named by the conventions of Prometheus.
 func (d *Daemon) metricSet() *metrics.Set {
 	s := metrics.NewSet()
 	count := func(name string, load func() uint64) {
@@ -112,10 +112,10 @@
 	for i := 1; i < caller.NumCauses; i++ {
 		count(fmt.Sprintf("fescueshed_packets_dropped_total{cause=%q}", caller.Cause(i)), c.Drops[i].Load)
 	}
-	count("fescueshed_packets_received_total", d.fabric.Counters.In.Load)
-	count("fescueshed_packets_sent_total", d.fabric.Counters.Out.Load)
+	count("fescueshed_packets_received_total", d.fabric.Counters.Received.Load)
+	count("fescueshed_packets_sent_total", d.fabric.Counters.Sent.Load)
 	count("fescueshed_packets_stale_total", d.fabric.Counters.Stale.Load)
-	count("fescueshed_packets_send_errors_total", d.fabric.Counters.Failed.Load)
+	count("fescueshed_packets_send_errors_total", d.fabric.Counters.SendErrors.Load)
 	count("fescueshed_packets_forwarded_to_home_total", c.Forwarded.Load)
 	count("fescueshed_packets_asked_total", c.Queried.Load)
 	count("fescueshed_flows_placed_total", c.Placed.Load)
@@ -124,8 +124,8 @@
 	count("fescueshed_flows_ended_total", c.Ended.Load)
 	count("fescueshed_record_conflicts_total", c.Conflicts.Load)
 	count("fescueshed_pauses_total", c.Pauses.Load)
-	count("fescueshed_control_received_bytes_total", d.control.inBytes.Load)
-	count("fescueshed_control_sent_bytes_total", d.control.outBytes.Load)
+	count("fescueshed_control_received_bytes_total", d.control.receivedBytes.Load)
+	count("fescueshed_control_sent_bytes_total", d.control.sentBytes.Load)
 	count("fescueshed_control_dropped_total", d.control.dropped.Load)
 	count("fescueshed_control_ports_renewed_total", d.control.ports.Renewed.Load)
 	count("fescueshed_bundles_refused_total", d.bundles.refused.Load)
@@ -147,5 +147,5 @@
 	return 0
 }
 
-// View returns the members as the daemon sees them.
+// View returns the daemon's current view of the members.
 func (d *Daemon) View() *peer.View { return d.engine.View() }
