--- a/cmd/fescueshed-cookie/main.go
+++ b/cmd/fescueshed-cookie/main.go
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	c := carrier.Command{Connect: platform.Connect}
+	c := carrier.Command{Connect: platform.New}
 	k := kong.Parse(&c,
 		kong.Name("fescueshed-cookie"),
 		kong.Description("Runs a balancer for flows that carry a cookie, until SIGTERM."),
--- a/cmd/fescueshed-cookie/main_test.go
+++ b/cmd/fescueshed-cookie/main_test.go
@@ -18,7 +18,7 @@
 		"github.com/fescueshed/fescueshed/internal/connection/caller",
 		"github.com/fescueshed/fescueshed/internal/process/capacity",
 		"github.com/fescueshed/fescueshed/internal/process/daemon",
-		"github.com/fescueshed/fescueshed/internal/process/story",
+		"github.com/fescueshed/fescueshed/internal/process/flowtrace",
 		"github.com/fescueshed/fescueshed/internal/standin",
 		"github.com/gopacket/gopacket",
 		"github.com/plgd-dev/go-coap",
--- a/cmd/fescueshed/burn.go
+++ b/cmd/fescueshed/burn.go
@@ -25,7 +25,7 @@
 // burnWindow is the report of one window.
 type burnWindow struct {
 	// Window is the burn of the last window, Total that since the first round.
-	Window, Total []status.Burn
+	Window, Total []status.BurnRate
 }
 
 // Run asks all balancers again and again and prints how fast each service uses up what
@@ -51,8 +51,8 @@
 			fmt.Fprintln(os.Stderr, err) // The others' words still say something.
 		}
 		w := burnWindow{
-			Window: status.BurnBetween(last, next, c.Objective),
-			Total:  status.BurnBetween(first, next, c.Objective),
+			Window: status.BurnRates(last, next, c.Objective),
+			Total:  status.BurnRates(first, next, c.Objective),
 		}
 		if err := c.print(&w); err != nil {
 			return err
--- a/cmd/fescueshed/explain.go
+++ b/cmd/fescueshed/explain.go
@@ -8,7 +8,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/fescueshed/fescueshed/internal/process/story"
+	"github.com/fescueshed/fescueshed/internal/process/flowtrace"
 )
 
 type explainCommand struct {
@@ -18,7 +18,7 @@
 
 // Run prints what the logs tell of a flow, in the order of time, and what it means.
 func (c *explainCommand) Run() error {
-	var lines []story.Line
+	var lines []flowtrace.Line
 	for _, name := range c.Logs {
 		more, err := readLog(name)
 		if err != nil {
@@ -26,7 +26,7 @@
 		}
 		lines = append(lines, more...)
 	}
-	s := story.Tell(lines, c.Caller)
+	s := flowtrace.Build(lines, c.Caller)
 	for _, l := range s.Lines {
 		fmt.Printf("%s  %s  %s\n", l.Time.Format("15:04:05.000"), l.Host, l.Text)
 	}
@@ -34,14 +34,14 @@
 	return nil
 }
 
-func readLog(name string) ([]story.Line, error) {
+func readLog(name string) ([]flowtrace.Line, error) {
 	if name == "-" {
-		return story.Parse(os.Stdin, "-")
+		return flowtrace.Parse(os.Stdin, "-")
 	}
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, eris.Wrap(err, "explain")
 	}
 	defer func() { _ = f.Close() }() // It was read only.
-	return story.Parse(f, strings.TrimSuffix(filepath.Base(name), filepath.Ext(name)))
+	return flowtrace.Parse(f, strings.TrimSuffix(filepath.Base(name), filepath.Ext(name)))
 }
--- a/cmd/fescueshed/main.go
+++ b/cmd/fescueshed/main.go
@@ -36,7 +36,7 @@
 )
 
 func main() {
-	c := commands{Cookie: carrier.Command{Connect: platform.Connect}}
+	c := commands{Cookie: carrier.Command{Connect: platform.New}}
 	k := kong.Parse(&c,
 		kong.Name("fescueshed"),
 		kong.Description("A layer-4 load balancer that keeps flows alive through planned change."),
--- a/cmd/fescueshed/zone.go
+++ b/cmd/fescueshed/zone.go
@@ -23,10 +23,10 @@
 }
 
 // zones returns the zones at the store, a context with the flags' timeout, and a clean-up.
-func (f *zoneFlags) zones(ctx context.Context) (*operator.Zones, context.Context, func()) {
+func (f *zoneFlags) zones(ctx context.Context) (*operator.Evacuator, context.Context, func()) {
 	calls, stop := objects.NewClient(f.Store)
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
-	z := &operator.Zones{Evacuated: platform.NewEvacuationNames(calls), Upstreams: platform.NewRegistrations(calls)}
+	z := &operator.Evacuator{Evacuations: platform.NewEvacuationMarkers(calls), Registrations: platform.NewRegistrations(calls)}
 	return z, ctx, func() {
 		cancel()
 		stop()
@@ -57,7 +57,7 @@
 func (c *takeBackCommand) Run(ctx context.Context) error {
 	z, ctx, stop := c.zones(ctx)
 	defer stop()
-	changed, err := z.TakeBack(ctx, bundle.Zone(c.Zone))
+	changed, err := z.EndEvacuation(ctx, bundle.Zone(c.Zone))
 	if err != nil {
 		return err
 	}
--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -22,7 +22,7 @@
 const (
 	cookieService = "service"
 	cookieZone    = bundle.Zone("zone")
-	// cookieProbePeriod is that of settings.DefaultsCookie.
+	// cookieProbePeriod is that of settings.CookieDefaults.
 	cookieProbePeriod = 500 * time.Millisecond
 	// toldPeriod is how often a zone's reader tells news and loads.
 	toldPeriod = 500 * time.Millisecond
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -41,7 +41,7 @@
 	cfg      atomic.Pointer[settings.Cookie]
 	platform metadata.Platform
 	inForce  bundle.InForce
-	pauses   *timer.Pauses
+	pauses   *timer.PauseDetector
 	data     *data
 	members  *members
 	probes   *probes
@@ -73,7 +73,7 @@
 func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Carrier, func(), error) {
 	c := &Carrier{
 		platform: p,
-		pauses:   timer.NewPauses(pauseLimit),
+		pauses:   timer.NewPauseDetector(pauseLimit),
 		logs:     newDecisionLog(cfg.LogsPerSecond),
 		started:  time.Now(),
 		known:    knowledge{catalog: registry.NewCatalog()},
@@ -182,7 +182,7 @@
 // awake runs often: it notices pauses, sends due probes and lets doubts of the
 // store's list end.
 func (c *Carrier) awake(now time.Time) {
-	c.pauses.Seen(now)
+	c.pauses.Observe(now)
 	c.mu.Lock()
 	c.expireList(now)
 	c.expireEvacuations(now)
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/carrier/carrier_test.go
@@ -61,7 +61,7 @@
 	}
 	store, closeStore := objects.NewClient(cfg.Store)
 	t.Cleanup(closeStore)
-	c, stop, err := carrier.New(context.Background(), cfg, platform.Connect(store))
+	c, stop, err := carrier.New(context.Background(), cfg, platform.New(store))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/carrier/data.go
+++ b/internal/process/carrier/data.go
@@ -55,7 +55,7 @@
 func (d *data) run(ctx context.Context) {
 	buf := make([]byte, maxPacketBytes)
 	head := d.c.platform.Packets.Headroom()
-	pauses := d.c.pauses.Seen(time.Now())
+	pauses := d.c.pauses.Observe(time.Now())
 	for {
 		n, err := d.conn.Read(buf[head:])
 		if eris.Is(err, net.ErrClosed) {
@@ -70,7 +70,7 @@
 			return
 		}
 		now := time.Now()
-		if seen := d.c.pauses.Seen(now); seen != pauses {
+		if seen := d.c.pauses.Observe(now); seen != pauses {
 			pauses, late = seen, true
 			d.paused(now)
 		}
--- a/internal/process/carrier/data_test.go
+++ b/internal/process/carrier/data_test.go
@@ -38,7 +38,7 @@
 		c := &Carrier{
 			engine:   cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoneAware("a", upstream.DefaultChoices)}),
 			start:    newStartup(now, false),
-			pauses:   timer.NewPauses(pauseLimit),
+			pauses:   timer.NewPauseDetector(pauseLimit),
 			logs:     newDecisionLog(1),
 			platform: metadata.Platform{Packets: firstPackets{}},
 		}
--- a/internal/process/carrier/http.go
+++ b/internal/process/carrier/http.go
@@ -118,7 +118,7 @@
 // come.
 func (c *Carrier) writeRequests(w io.Writer) {
 	s := c.Status()
-	status.WriteEvacuated(w, s.Evacuated)
+	status.WriteEvacuationMetrics(w, s.Evacuated)
 	for _, r := range s.Requests {
 		for outcome, n := range map[string]uint64{
 			"InTime": r.InTime, "Late": r.Late, "Failed": r.Failed, "Refused": r.Refused, "Unknown": r.Unknown,
--- a/internal/process/daemon/admin.go
+++ b/internal/process/daemon/admin.go
@@ -35,7 +35,7 @@
 	set := d.metricSet()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		set.WritePrometheus(w)
-		status.WriteEvacuated(w, d.Status().Evacuated)
+		status.WriteEvacuationMetrics(w, d.Status().Evacuated)
 		metrics.WriteProcessMetrics(w)
 	})
 	if d.cfg.Debug {
--- a/internal/process/story/line.go
+++ b/internal/process/flowtrace/line.go
@@ -1,6 +1,6 @@
-// Package story puts together what happened to one flow from the logs of several
+// Package flowtrace puts together what happened to one flow from the logs of several
 // balancers.
-package story
+package flowtrace
 
 import (
 	"bufio"
--- a/internal/process/story/story.go
+++ b/internal/process/flowtrace/trace.go
@@ -1,12 +1,12 @@
-package story
+package flowtrace
 
 import (
 	"slices"
 	"time"
 )
 
-// Story is what logs tell of one flow.
-type Story struct {
+// Trace is what logs tell of one flow.
+type Trace struct {
 	// Lines are those of the flow, and those around them that explain them, in the order
 	// of time.
 	Lines []Line
@@ -29,11 +29,11 @@
 // ofUpstream are the messages that tell what was found out of an upstream.
 var ofUpstream = []string{"Upstream probed", "Upstream gets no new flows: too many requests fail"}
 
-// Tell puts the story of a flow together. caller is the caller's address and port.
-func Tell(lines []Line, caller string) Story {
+// Build puts the story of a flow together. caller is the caller's address and port.
+func Build(lines []Line, caller string) Trace {
 	flow := selectLines(lines, func(l *Line) bool { return l.Get("Caller") == caller })
 	if len(flow) == 0 {
-		return Story{Meaning: "no line names this caller: its packets were of an established flow, which write none, " +
+		return Trace{Meaning: "no line names this caller: its packets were of an established flow, which write none, " +
 			"or reached no balancer whose log is here, or the line was left out (LeftOut, " +
 			"fescueshed_log_lines_left_out_total); see whether a balancer of its zone started, left or stood still then"}
 	}
@@ -53,7 +53,7 @@
 		return slices.Contains(ofHost, l.Message)
 	})
 	last := &flow[len(flow)-1]
-	return Story{Lines: all, Meaning: meaning(last.Get("Cause"))}
+	return Trace{Lines: all, Meaning: meaning(last.Get("Cause"))}
 }
 
 // selectLines returns the lines for which f holds, in the order of time.
--- a/internal/process/story/story_test.go
+++ b/internal/process/flowtrace/trace_test.go
@@ -1,4 +1,4 @@
-package story_test
+package flowtrace_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/fescueshed/fescueshed/internal/connection/cookie"
-	"github.com/fescueshed/fescueshed/internal/process/story"
+	"github.com/fescueshed/fescueshed/internal/process/flowtrace"
 )
 
 const logOfA = `
@@ -29,11 +29,11 @@
 I1202 20:00:12.300000    9 probe.go:63] "Upstream probed" ID="feb0eb55af" After="Dead" Result="Refused"
 `
 
-func parse(t *testing.T, logs map[string]string) []story.Line {
+func parse(t *testing.T, logs map[string]string) []flowtrace.Line {
 	t.Helper()
-	var out []story.Line
+	var out []flowtrace.Line
 	for host, text := range logs {
-		lines, err := story.Parse(strings.NewReader(text), host)
+		lines, err := flowtrace.Parse(strings.NewReader(text), host)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,7 +42,7 @@
 	return out
 }
 
-func messages(s story.Story) []string {
+func messages(s flowtrace.Trace) []string {
 	out := make([]string, 0, len(s.Lines))
 	for _, l := range s.Lines {
 		out = append(out, l.Host+": "+l.Message)
@@ -52,7 +52,7 @@
 
 func TestStoryOfAFlowOverTwoHosts(t *testing.T) {
 	g := NewWithT(t)
-	s := story.Tell(parse(t, map[string]string{"a": logOfA, "b": logOfB, "c": logOfC}), "100.64.0.1:1030")
+	s := flowtrace.Build(parse(t, map[string]string{"a": logOfA, "b": logOfB, "c": logOfC}), "100.64.0.1:1030")
 	g.Expect(messages(s)).To(Equal([]string{
 		"a: Bundle in force", "a: Flow placed", "b: Upstream probed", "b: Flow reset",
 	}))
@@ -61,7 +61,7 @@
 
 func TestStoryOfAnUnknownCaller(t *testing.T) {
 	g := NewWithT(t)
-	s := story.Tell(parse(t, map[string]string{"a": logOfA}), "100.64.0.1:1")
+	s := flowtrace.Build(parse(t, map[string]string{"a": logOfA}), "100.64.0.1:1")
 	g.Expect(s.Lines).To(BeEmpty())
 	g.Expect(s.Meaning).To(ContainSubstring("no line names this caller"))
 }
@@ -80,7 +80,7 @@
 	g := NewWithT(t)
 	for c := cookie.CauseNone + 1; c < cookie.NumCauses; c++ {
 		line := `I1202 20:00:11.000000 7 log.go:56] "Flow reset" Cause="` + c.String() + `" Caller="100.64.0.1:1"`
-		s := story.Tell(parse(t, map[string]string{"a": line}), "100.64.0.1:1")
+		s := flowtrace.Build(parse(t, map[string]string{"a": line}), "100.64.0.1:1")
 		g.Expect(s.Meaning).NotTo(ContainSubstring("isn't known"), c.String())
 	}
 }
--- a/internal/process/operator/zone.go
+++ b/internal/process/operator/zone.go
@@ -14,10 +14,10 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// Zones evacuates zones and takes them back.
-type Zones struct {
-	Evacuated objects.Markers
-	Upstreams objects.ListWatcher[registry.Registration]
+// Evacuator evacuates zones and takes them back.
+type Evacuator struct {
+	Evacuations   objects.Markers
+	Registrations objects.ListWatcher[registry.Registration]
 }
 
 // UnknownZoneError is returned for a zone in which no upstream is registered.
@@ -41,7 +41,7 @@
 // Evacuate asks that no new flow enters a zone. It tries until the store has answered or ctx ends, and
 // reports whether the zone wasn't evacuated before. A name that is mistyped must not pass for done:
 // the zone that was meant would be switched off full of flows.
-func (z *Zones) Evacuate(ctx context.Context, zone bundle.Zone) (bool, error) {
+func (z *Evacuator) Evacuate(ctx context.Context, zone bundle.Zone) (bool, error) {
 	known, err := z.known(ctx)
 	if err != nil {
 		return false, err
@@ -49,22 +49,22 @@
 	if !slices.Contains(known, zone) {
 		return false, &UnknownZoneError{Zone: zone, Known: known}
 	}
-	return try(ctx, objects.ErrConflict, func() error { return z.Evacuated.Create(ctx, string(zone)) })
+	return try(ctx, objects.ErrConflict, func() error { return z.Evacuations.Create(ctx, string(zone)) })
 }
 
-// TakeBack lets new flows enter a zone again. It reports whether the zone was evacuated. A zone without upstreams can
+// EndEvacuation lets new flows enter a zone again. It reports whether the zone was evacuated. A zone without upstreams can
 // be taken back: they may all have gone meanwhile.
-func (z *Zones) TakeBack(ctx context.Context, zone bundle.Zone) (bool, error) {
-	return try(ctx, objects.ErrNotFound, func() error { return z.Evacuated.Delete(ctx, string(zone)) })
+func (z *Evacuator) EndEvacuation(ctx context.Context, zone bundle.Zone) (bool, error) {
+	return try(ctx, objects.ErrNotFound, func() error { return z.Evacuations.Delete(ctx, string(zone)) })
 }
 
 // known returns the zones in which upstreams are registered, in order.
-func (z *Zones) known(ctx context.Context) ([]bundle.Zone, error) {
+func (z *Evacuator) known(ctx context.Context) ([]bundle.Zone, error) {
 	var out []bundle.Zone
 	for list := objects.NewListing[registry.Registration](false); !list.Done(); {
 		var p objects.Page[registry.Registration]
 		if _, err := try(ctx, nil, func() (err error) {
-			p, err = z.Upstreams.List(ctx, list.Next())
+			p, err = z.Registrations.List(ctx, list.Next())
 			return err
 		}); err != nil {
 			return nil, err
--- a/internal/process/settings/cookie.go
+++ b/internal/process/settings/cookie.go
@@ -78,8 +78,8 @@
 	return eris.Wrap(err, "want base64")
 }
 
-// DefaultsCookie returns the settings of a daemon that is told nothing else.
-func DefaultsCookie() Cookie {
+// CookieDefaults returns the settings of a daemon that is told nothing else.
+func CookieDefaults() Cookie {
 	return Cookie{
 		FlowLifetime:  bundle.Duration(time.Minute),
 		Grace:         bundle.Duration(6 * time.Second),
@@ -96,7 +96,7 @@
 
 // DecodeCookie reads and checks src, which stands in file.
 func DecodeCookie(file string, src []byte) (*Cookie, error) {
-	return decode(file, src, DefaultsCookie(), (*Cookie).check)
+	return decode(file, src, CookieDefaults(), (*Cookie).check)
 }
 
 func (s *Cookie) check(f *hujson.Findings) {
--- a/internal/process/status/burn.go
+++ b/internal/process/status/burn.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Burn says how fast a service uses up what its objective allows.
-type Burn struct {
+// BurnRate says how fast a service uses up what its objective allows.
+type BurnRate struct {
 	Service string
 	RequestStatus
 	// Rate is the share of requests that were answered late, failed or were refused, over
@@ -20,19 +20,19 @@
 
 func (r *RequestStatus) bad() uint64 { return r.Late + r.Failed + r.Refused }
 
-// BurnBetween returns the burn of each service between two rounds of asking all daemons,
+// BurnRates returns the burn of each service between two rounds of asking all daemons,
 // in the order of their names. objective is the share of requests that must be answered
 // in time, less than one. A daemon that started between the rounds counts from zero, one
 // that is missing in one of them not at all.
-func BurnBetween(before, after []Status, objective float64) []Burn {
-	var out []Burn
+func BurnRates(before, after []Status, objective float64) []BurnRate {
+	var out []BurnRate
 	for i := range after {
 		old := requestsOf(before, after[i].Name)
 		if old == nil {
 			continue
 		}
 		for _, r := range after[i].Requests {
-			sum := find(&out, func(b *Burn) bool { return b.Service == r.Service })
+			sum := find(&out, func(b *BurnRate) bool { return b.Service == r.Service })
 			sum.Service = r.Service
 			sum.RequestStatus = sum.plus(r.since(old))
 		}
@@ -43,7 +43,7 @@
 			b.Rate = float64(b.bad()) / float64(known) / (1 - objective)
 		}
 	}
-	slices.SortFunc(out, func(a, b Burn) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(out, func(a, b BurnRate) int { return cmp.Compare(a.Service, b.Service) })
 	return out
 }
 
--- a/internal/process/status/evacuation.go
+++ b/internal/process/status/evacuation.go
@@ -17,8 +17,8 @@
 	Flows int
 }
 
-// WriteEvacuated writes evacuated zones as metrics.
-func WriteEvacuated(w io.Writer, zones []EvacuationStatus) {
+// WriteEvacuationMetrics writes evacuated zones as metrics.
+func WriteEvacuationMetrics(w io.Writer, zones []EvacuationStatus) {
 	for _, e := range zones {
 		fmt.Fprintf(w, "fescueshed_zone_evacuated{zone=%q} 1\n", e.Zone)
 		fmt.Fprintf(w, "fescueshed_evacuated_zone_flows{zone=%q} %d\n", e.Zone, e.Flows)
--- a/internal/process/timer/pause.go
+++ b/internal/process/timer/pause.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Pauses notices that the process stood still: that it was stopped, or that its
+// PauseDetector notices that the process stood still: that it was stopped, or that its
 // host was suspended, which the steady clock doesn't count. It is safe for
 // concurrent use.
-type Pauses struct {
+type PauseDetector struct {
 	limit time.Duration
 
 	start time.Time
@@ -22,15 +22,15 @@
 	count  uint64
 }
 
-// NewPauses returns a Pauses that takes gaps of more than limit between two calls
+// NewPauseDetector returns a PauseDetector that takes gaps of more than limit between two calls
 // of Seen for a pause. Seen must be called more often than that.
-func NewPauses(limit time.Duration) *Pauses {
+func NewPauseDetector(limit time.Duration) *PauseDetector {
 	now := time.Now()
-	return &Pauses{limit: limit, start: now, last: now, asleep: sinceBoot()}
+	return &PauseDetector{limit: limit, start: now, last: now, asleep: sinceBoot()}
 }
 
-// Seen tells that the process runs now and returns how often it was paused so far.
-func (p *Pauses) Seen(now time.Time) uint64 {
+// Observe tells that the process runs now and returns how often it was paused so far.
+func (p *PauseDetector) Observe(now time.Time) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.last) > p.limit || p.suspended(now) {
@@ -42,7 +42,7 @@
 
 // suspended looks at the clock that counts suspension only if the time of day
 // moved in another way than the steady clock, so that it costs no system call.
-func (p *Pauses) suspended(now time.Time) bool {
+func (p *PauseDetector) suspended(now time.Time) bool {
 	steady := now.Sub(p.last)
 	wall := now.Round(0).Sub(p.last.Round(0))
 	if wall-steady < p.limit {
--- a/internal/standin/metadata/objects.go
+++ b/internal/standin/metadata/objects.go
@@ -57,7 +57,7 @@
 		out.AllowedRegions = append(out.AllowedRegions, string(region))
 	}
 	for _, t := range r.Targets {
-		out.TrafficSplit = append(out.TrafficSplit, wire.Share{Service: t.Service, Weight: t.Weight})
+		out.TrafficSplit = append(out.TrafficSplit, wire.TrafficShare{Service: t.Service, Weight: t.Weight})
 	}
 	return out
 }
--- a/internal/standin/metadata/packets.go
+++ b/internal/standin/metadata/packets.go
@@ -14,7 +14,7 @@
 
 // Segments is the codec of what the two ends of a flow send. It implements
 // flows.Codec.
-type Segments struct{ packets platform.Packets }
+type Segments struct{ packets platform.PacketCodec }
 
 // Encode implements flows.Codec.
 func (s Segments) Encode(g *flows.Segment) []byte {
--- a/internal/standin/metadata/store.go
+++ b/internal/standin/metadata/store.go
@@ -307,7 +307,7 @@
 
 // write creates an object or replaces one under a condition.
 func (s *Store) write(w http.ResponseWriter, r *http.Request, kind string) {
-	var in wire.Written
+	var in wire.ObjectWrite
 	if err := json.UnmarshalRead(r.Body, &in); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -419,7 +419,7 @@
 
 // tellEpoch puts the epoch of what an answer says into its head.
 func tellEpoch(w http.ResponseWriter, epoch uint64) {
-	w.Header().Set(wire.HeaderEra, strconv.FormatUint(epoch, 10))
+	w.Header().Set(wire.HeaderEpoch, strconv.FormatUint(epoch, 10))
 }
 
 func answer[T any](w http.ResponseWriter, p *T) {
