--- a/internal/process/blocklist/blocklist.go
+++ b/internal/process/blocklist/blocklist.go
@@ -1,5 +1,5 @@
-// Package blocklist keeps a daemon from speaking with given networks. Trials cut
-// availability zones off with it, and operators a host that misbehaves.
+// Package blocklist prevents a daemon from communicating with given networks. Test runs use it
+// to isolate availability zones, and operators to isolate a host that misbehaves.
 package blocklist
 
 import (
@@ -13,17 +13,17 @@
 // blocks nothing.
 type List struct {
 	prefixes atomic.Pointer[[]netip.Prefix]
-	// Dropped counts what was blocked.
+	// Dropped counts how often Blocks returned true.
 	Dropped atomic.Uint64
 }
 
-// Set replaces the networks.
+// Set replaces the blocked networks.
 func (l *List) Set(p []netip.Prefix) {
 	l.prefixes.Store(&p)
 }
 
-// Blocks reports whether a is in one of the networks, and counts it then. A nil
-// list blocks nothing.
+// Blocks reports whether a is in one of the blocked networks. If so, it increments
+// Dropped. A nil list blocks nothing.
 func (l *List) Blocks(a netip.Addr) bool {
 	if l == nil {
 		return false
@@ -43,7 +43,8 @@
 
 const maxBodyBytes = 1 << 16
 
-// ServeHTTP replaces the networks by the JSON list in the body of a PUT.
+// ServeHTTP implements http.Handler. It replaces the blocked networks with the JSON list in the
+// body of a PUT request.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var p []netip.Prefix
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&p); err != nil {
--- a/internal/process/flowtrace/line.go
+++ b/internal/process/flowtrace/line.go
@@ -1,4 +1,4 @@
-// Package flowtrace puts together what happened to one flow from the logs of several
+// Package flowtrace reconstructs what happened to one flow from the logs of several
 // balancers.
 package flowtrace
 
@@ -15,16 +15,16 @@
 
 // Line is one structured line of a balancer's log.
 type Line struct {
-	// Time is the time of day by the clock of its host, without a year.
+	// Time is the date and time by the clock of the host, without a year.
 	Time    time.Time
 	Host    string
 	Message string
 	Fields  []Field
-	// Text is the line from its message on, as it was written.
+	// Text is the unparsed rest of the line, beginning with the message.
 	Text string
 }
 
-// Field is a key with its value, quotes taken off.
+// Field is a key with its unquoted value.
 type Field struct{ Key, Value string }
 
 // Get returns the value of a key, empty if there is none.
@@ -38,21 +38,21 @@
 }
 
 var (
-	// header is what klog writes before a message: severity, month and day, time,
-	// process and place in the source. What stands before it names the host, if logs of
-	// several were put together.
+	// header matches what klog writes before a message: severity, month and day, time,
+	// process and source location. If the logs of several hosts were merged, the word before
+	// the header names the host.
 	header = regexp.MustCompile(`[IWEF](\d{4} \d\d:\d\d:\d\d\.\d{6})\s+\d+ [^ \]]+\] `)
 	field  = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S+)`)
 )
 
 const (
 	headerTime = "0102 15:04:05.000000"
-	// maxLineBytes bounds a line; those of balancers have some hundred bytes.
+	// maxLineBytes is the maximum length of a line. Balancers write lines of a few hundred bytes.
 	maxLineBytes = 1 << 20
 )
 
-// Parse reads the lines of a log. Lines that aren't a balancer's are passed over. host
-// names the host if the lines don't.
+// Parse reads the lines of a log. It skips lines that weren't written by a balancer. host is
+// the host of lines that don't name theirs.
 func Parse(r io.Reader, host string) ([]Line, error) {
 	var out []Line
 	s := bufio.NewScanner(r)
@@ -72,7 +72,7 @@
 	}
 	t, err := time.Parse(headerTime, text[at[2]:at[3]])
 	if err != nil {
-		return Line{}, false // The header of another program's line.
+		return Line{}, false // Another program wrote this line; its header only looks similar.
 	}
 	if before := strings.Fields(text[:at[0]]); len(before) > 0 {
 		host = before[len(before)-1]
@@ -80,7 +80,7 @@
 	l := Line{Time: t, Host: host, Text: text[at[1]:]}
 	rest := l.Text
 	if quoted, err := strconv.QuotedPrefix(rest); err == nil {
-		l.Message, _ = strconv.Unquote(quoted) // A quoted prefix can be unquoted.
+		l.Message, _ = strconv.Unquote(quoted) // QuotedPrefix returns only what can be unquoted.
 		rest = rest[len(quoted):]
 	}
 	for _, m := range field.FindAllStringSubmatch(rest, -1) {
--- a/internal/process/flowtrace/trace.go
+++ b/internal/process/flowtrace/trace.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// Trace is what logs tell of one flow.
+// Trace is what the logs say about one flow.
 type Trace struct {
-	// Lines are those of the flow, and those around them that explain them, in the order
-	// of time.
+	// Lines are the log lines about the flow, and others at about the same time that help to
+	// explain them, sorted by time.
 	Lines []Line
 	// Meaning says what the last decision about the flow means, and where to look next.
 	Meaning string
 }
 
-// around is how long before the first and after the last line of a flow other lines may
-// explain it: a cut is noticed within a second, a dead upstream within two, and callers
-// wait for three at most.
-const around = 3 * time.Second
+// contextWindow is how long before the first and after the last line of a flow other lines may
+// help to explain it: a network partition is detected within a second, a dead upstream within
+// two, and callers wait for at most three.
+const contextWindow = 3 * time.Second
 
-// ofHost are the messages that tell what a host was at.
-var ofHost = []string{
+// hostMessages are the messages about the state of a host.
+var hostMessages = []string{
 	"Daemon started", "Leaving", "Left", "Ended",
 	"Settings in force", "Settings refused", "Bundle in force", "Bundle refused",
 	"Store lost", "Store regained", "Process was paused: first packets that waited are dropped",
 }
 
-// ofUpstream are the messages that tell what was found out of an upstream.
-var ofUpstream = []string{"Upstream probed", "Upstream gets no new flows: too many requests fail"}
+// upstreamMessages are the messages about the state of an upstream.
+var upstreamMessages = []string{"Upstream probed", "Upstream gets no new flows: too many requests fail"}
 
-// Build puts the story of a flow together. caller is the caller's address and port.
+// Build builds the trace of a flow from lines. caller is the address and port of the flow's caller.
 func Build(lines []Line, caller string) Trace {
 	flow := selectLines(lines, func(l *Line) bool { return l.Get("Caller") == caller })
 	if len(flow) == 0 {
-		return Trace{Meaning: "no line names this caller: its packets were of an established flow, which write none, " +
-			"or reached no balancer whose log is here, or the line was left out (LeftOut, " +
-			"fescueshed_log_lines_left_out_total); see whether a balancer of its zone started, left or stood still then"}
+		return Trace{Meaning: "no line names this caller: its packets belonged to an established flow, which isn't logged, " +
+			"or reached no balancer whose log was given, or the line was left out by the rate limit (LeftOut, " +
+			"fescueshed_log_lines_left_out_total); check whether a balancer of its zone started, left or was paused then"}
 	}
-	hosts, upstreams := named(flow)
-	from, to := flow[0].Time.Add(-around), flow[len(flow)-1].Time.Add(around)
+	hosts, upstreams := hostsAndUpstreams(flow)
+	from, to := flow[0].Time.Add(-contextWindow), flow[len(flow)-1].Time.Add(contextWindow)
 	all := selectLines(lines, func(l *Line) bool {
 		switch {
 		case l.Get("Caller") == caller:
@@ -46,17 +46,17 @@
 		case l.Time.Before(from) || l.Time.After(to):
 			return false
 		case !hosts[l.Host]:
-			return false // The hosts that decided wrote down what they knew.
-		case slices.Contains(ofUpstream, l.Message):
+			return false // Only hosts that made decisions about the flow matter: their logs say what they knew.
+		case slices.Contains(upstreamMessages, l.Message):
 			return upstreams[l.Get("ID")]
 		}
-		return slices.Contains(ofHost, l.Message)
+		return slices.Contains(hostMessages, l.Message)
 	})
 	last := &flow[len(flow)-1]
-	return Trace{Lines: all, Meaning: meaning(last.Get("Cause"))}
+	return Trace{Lines: all, Meaning: causeMeaning(last.Get("Cause"))}
 }
 
-// selectLines returns the lines for which f holds, in the order of time.
+// selectLines returns the lines for which f returns true, sorted by time.
 func selectLines(lines []Line, f func(l *Line) bool) []Line {
 	var out []Line
 	for i := range lines {
@@ -68,8 +68,9 @@
 	return out
 }
 
-// named returns the hosts that decided about a flow and the upstreams it was led to.
-func named(flow []Line) (hosts, upstreams map[string]bool) {
+// hostsAndUpstreams returns the hosts that made decisions about a flow and the IDs of the upstreams
+// that these named.
+func hostsAndUpstreams(flow []Line) (hosts, upstreams map[string]bool) {
 	hosts, upstreams = make(map[string]bool), make(map[string]bool)
 	for i := range flow {
 		hosts[flow[i].Host] = true
@@ -80,26 +81,26 @@
 	return hosts, upstreams
 }
 
-// meanings are those of the causes, for an engineer on call.
-var meanings = map[string]string{
-	"Placed":        "the flow was placed and no balancer ended it: see what its upstream says of the request",
-	"Spilled":       "the flow was placed in another zone, its own was crowded or had no upstream; a cut between them breaks it",
-	"Repeated":      "a copy of the first packet went to the same upstream, which answered others: the first was lost",
-	"Silent":        "a copy went to another upstream, since the first gave no sign of life",
-	"Evacuated":     "a copy of the first packet came after the zone that it went to was evacuated; nothing has run for it there",
-	"NoRoute":       "the bundle in force has no route for the address; nothing has run unless the flow was open before",
-	"NoUpstream":    "no upstream of the service could take the flow; nothing has run",
-	"Gone":          "the flow's upstream had left or crashed; whether an open request ran, only its log says",
-	"Dead":          "the flow's upstream didn't answer, or another did at its address; its log says whether a request ran",
-	"Restarted":     "the flow's upstream started again under its identifier and knew nothing of the flow",
-	"UnknownCookie": "this balancer didn't know the flow's upstream yet or any more; it tells the caller after 3 s",
-	"NoCookie":      "not a first packet, and it names no upstream: its first packet reached no balancer",
-	"StaleOpen":     "a first packet waited while the process stood still; its caller sends copies",
-	"Malformed":     "the bytes are no packet",
+// causeMeanings explains each cause to an engineer on call.
+var causeMeanings = map[string]string{
+	"Placed":        "the flow was placed and no balancer ended it: check what its upstream's log says about the request",
+	"Spilled":       "the flow went to another zone: its own was at capacity or had no upstream; a partition between them breaks it",
+	"Repeated":      "a copy of the first packet went to the same upstream, which answered other callers: the first was lost",
+	"Silent":        "a copy of the first packet went to another upstream, since the first upstream showed no sign of life",
+	"Evacuated":     "a copy of the first packet came after the zone that it went to was evacuated; no request has run for it there",
+	"NoRoute":       "the bundle in force has no route for the address; no request has run unless the flow was open before",
+	"NoUpstream":    "no upstream of the service could take the flow; no request has run",
+	"Gone":          "the flow's upstream had deregistered or crashed; only its log says whether an open request ran",
+	"Dead":          "the flow's upstream didn't answer, or something else did at its address; its log says whether a request ran",
+	"Restarted":     "the flow's upstream restarted under the same identifier and had no state of the flow",
+	"UnknownCookie": "this balancer didn't know the flow's upstream yet, or no longer; it resets the flow after 3 s",
+	"NoCookie":      "the packet isn't a first packet and names no upstream: the flow's first packet reached no balancer",
+	"StaleOpen":     "a first packet waited while the process was paused; its caller sends copies",
+	"Malformed":     "the bytes aren't a valid packet",
 }
 
-func meaning(cause string) string {
-	if m, ok := meanings[cause]; ok {
+func causeMeaning(cause string) string {
+	if m, ok := causeMeanings[cause]; ok {
 		return m
 	}
 	return "the cause " + cause + " isn't known to this version"
--- a/internal/process/flowtrace/trace_test.go
+++ b/internal/process/flowtrace/trace_test.go
@@ -42,31 +42,34 @@
 	return out
 }
 
-func messages(s flowtrace.Trace) []string {
-	out := make([]string, 0, len(s.Lines))
-	for _, l := range s.Lines {
+func messages(trace flowtrace.Trace) []string {
+	out := make([]string, 0, len(trace.Lines))
+	for _, l := range trace.Lines {
 		out = append(out, l.Host+": "+l.Message)
 	}
 	return out
 }
 
-func TestStoryOfAFlowOverTwoHosts(t *testing.T) {
+// The decisions about a flow are spread over the logs of two hosts; the log of a third host doesn't matter.
+func TestTraceOfFlowOverTwoHosts(t *testing.T) {
 	g := NewWithT(t)
-	s := flowtrace.Build(parse(t, map[string]string{"a": logOfA, "b": logOfB, "c": logOfC}), "100.64.0.1:1030")
-	g.Expect(messages(s)).To(Equal([]string{
+	trace := flowtrace.Build(parse(t, map[string]string{"a": logOfA, "b": logOfB, "c": logOfC}), "100.64.0.1:1030")
+	g.Expect(messages(trace)).To(Equal([]string{
 		"a: Bundle in force", "a: Flow placed", "b: Upstream probed", "b: Flow reset",
 	}))
-	g.Expect(s.Meaning).To(ContainSubstring("didn't answer"))
+	g.Expect(trace.Meaning).To(ContainSubstring("didn't answer"))
 }
 
-func TestStoryOfAnUnknownCaller(t *testing.T) {
+// An engineer looks up a caller that no log names, and needs to know why that may be.
+func TestTraceOfUnknownCaller(t *testing.T) {
 	g := NewWithT(t)
-	s := flowtrace.Build(parse(t, map[string]string{"a": logOfA}), "100.64.0.1:1")
-	g.Expect(s.Lines).To(BeEmpty())
-	g.Expect(s.Meaning).To(ContainSubstring("no line names this caller"))
+	trace := flowtrace.Build(parse(t, map[string]string{"a": logOfA}), "100.64.0.1:1")
+	g.Expect(trace.Lines).To(BeEmpty())
+	g.Expect(trace.Meaning).To(ContainSubstring("no line names this caller"))
 }
 
-func TestParseTakesTheHostFromBeforeTheHeader(t *testing.T) {
+// In merged logs of several hosts, the word before klog's header names the host of a line.
+func TestParseHostBeforeHeader(t *testing.T) {
 	g := NewWithT(t)
 	line := `   0.2157 edge-1 I0125 19:58:00.215502    1183 log.go:56] "Flow reset" Cause="NoRoute" Text="a \"b\" c"`
 	lines := parse(t, map[string]string{"all": line})
@@ -75,12 +78,12 @@
 	g.Expect(lines[0].Get("Text")).To(Equal(`a "b" c`))
 }
 
-// An engineer looks up a cause that a newer balancer writes and this tool doesn't know.
+// Guards against a cause that is added to the balancer but not to causeMeanings.
 func TestEachCauseHasAMeaning(t *testing.T) {
 	g := NewWithT(t)
 	for c := cookie.CauseNone + 1; c < cookie.NumCauses; c++ {
 		line := `I1202 20:00:11.000000 7 log.go:56] "Flow reset" Cause="` + c.String() + `" Caller="100.64.0.1:1"`
-		s := flowtrace.Build(parse(t, map[string]string{"a": line}), "100.64.0.1:1")
-		g.Expect(s.Meaning).NotTo(ContainSubstring("isn't known"), c.String())
+		trace := flowtrace.Build(parse(t, map[string]string{"a": line}), "100.64.0.1:1")
+		g.Expect(trace.Meaning).NotTo(ContainSubstring("isn't known"), c.String())
 	}
 }
--- a/internal/process/logs/logs.go
+++ b/internal/process/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes structured lines to standard output without ever blocking
-// those who write them, and bounds the lines of decisions that come often.
+// Package logs writes structured log lines to standard output without ever blocking the
+// code that logs, and limits the rate of lines about frequent decisions.
 package logs
 
 import (
@@ -13,36 +13,37 @@
 	"k8s.io/klog/v2"
 )
 
-// Writer passes lines on to a slower writer through a bounded queue. What doesn't
-// fit is counted and left out: a reader of the logs that stands still must not stop
-// packets. It is safe for concurrent use.
+// Writer passes lines on to a slower writer through a bounded queue. It drops and counts
+// lines that don't fit into the queue: if the process that reads the logs hangs, packets
+// must still be forwarded. It is safe for concurrent use.
 type Writer struct {
 	lines chan []byte
 	done  chan struct{}
 	once  sync.Once
-	// Dropped counts lines that didn't fit.
+	// Dropped counts lines that weren't written.
 	Dropped atomic.Uint64
 }
 
-// queueLines is more than a second of lines at the bound of the settings.
+// queueLines is the queue's capacity. It is more than the lines of one second at the rate limit
+// of the settings.
 const queueLines = 1024
 
-// NewWriter starts writing to w. The clean-up function writes what is queued,
-// for flushTimeout at most.
+// NewWriter starts writing to w. The clean-up function writes the queued lines, but
+// gives up after flushTimeout.
 func NewWriter(w io.Writer) (*Writer, func()) {
 	q := &Writer{lines: make(chan []byte, queueLines), done: make(chan struct{})}
 	go func() {
 		defer close(q.done)
 		for b := range q.lines {
 			if _, err := w.Write(b); err != nil {
-				q.Dropped.Add(1) // There is nowhere to report it to but the counter.
+				q.Dropped.Add(1) // The counter is the only place to report it.
 			}
 		}
 	}()
 	return q, q.close
 }
 
-// flushTimeout bounds the end of a process whose logs nobody reads.
+// flushTimeout is how long the end of a process may be delayed if nothing reads its logs.
 const flushTimeout = 200 * time.Millisecond
 
 func (q *Writer) close() {
@@ -55,7 +56,7 @@
 
 // Write implements io.Writer.
 func (q *Writer) Write(b []byte) (n int, err error) {
-	// A line may come from a goroutine that ends after the queue was closed.
+	// A goroutine that still runs after the queue was closed may write a line.
 	defer func() {
 		if recover() != nil {
 			q.Dropped.Add(1)
@@ -71,8 +72,8 @@
 	return len(b), nil
 }
 
-// Setup sends the lines of klog to w, each once: by itself klog writes an error to
-// the outputs of all lower severities too, and to standard error.
+// Setup makes klog write each line to w exactly once. By default, klog also writes an error
+// to the outputs of all lower severities and to standard error.
 func Setup(w io.Writer) error {
 	var flags flag.FlagSet
 	klog.InitFlags(&flags)
@@ -85,31 +86,31 @@
 	return nil
 }
 
-// Limiter bounds the lines of one kind in each second and counts those left out.
+// Limiter limits the number of lines of one kind per second and counts those left out.
 // It isn't safe for concurrent use.
 type Limiter struct {
-	perSecond int
-	second    time.Time
-	written   int
-	left      uint64
+	perSecond   int
+	windowStart time.Time
+	written     int
+	omitted     uint64
 }
 
-// NewLimiter returns a limiter of so many lines a second.
+// NewLimiter returns a limiter that allows perSecond lines per second.
 func NewLimiter(perSecond int) *Limiter {
 	return &Limiter{perSecond: perSecond}
 }
 
-// Allow reports whether a line may be written now, and how many were left out
-// since the last one that was.
-func (l *Limiter) Allow(now time.Time) (leftOut uint64, ok bool) {
-	if now.Sub(l.second) >= time.Second {
-		l.second, l.written = now, 0
+// Allow reports whether a line may be written now. If so, it also returns how many lines
+// were left out since the last one that was allowed.
+func (l *Limiter) Allow(now time.Time) (omittedLines uint64, ok bool) {
+	if now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.written = now, 0
 	}
 	if l.written >= l.perSecond {
-		l.left++
+		l.omitted++
 		return 0, false
 	}
 	l.written++
-	leftOut, l.left = l.left, 0
-	return leftOut, true
+	omittedLines, l.omitted = l.omitted, 0
+	return omittedLines, true
 }
--- a/internal/process/logs/logs_test.go
+++ b/internal/process/logs/logs_test.go
@@ -15,8 +15,8 @@
 	"github.com/fescueshed/fescueshed/internal/process/logs"
 )
 
-// TestSetup: an engineer counts lines of a lost store and finds twice as many as
-// there were, since each error went to standard error too.
+// TestSetup guards against klog writing each error to standard error too: an engineer who
+// counts the lines about a lost store would find twice as many as there were.
 func TestSetup(t *testing.T) {
 	RegisterTestingT(t)
 	r, w, err := os.Pipe()
@@ -29,13 +29,13 @@
 	klog.Flush()
 	os.Stderr = stderr
 	Expect(w.Close()).To(Succeed())
-	elsewhere, err := io.ReadAll(r)
+	stderrOutput, err := io.ReadAll(r)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(strings.Count(out.String(), "Store lost")).To(Equal(1))
-	Expect(string(elsewhere)).To(BeEmpty())
+	Expect(string(stderrOutput)).To(BeEmpty())
 }
 
-// TestWriter: whoever reads the logs stands still, and packets must not wait for it.
+// TestWriter guards against packets that wait for the logs: the process that reads the logs hangs.
 func TestWriter(t *testing.T) {
 	RegisterTestingT(t)
 	r, w, err := os.Pipe()
@@ -51,7 +51,7 @@
 	stop()
 }
 
-// TestLimiter: lines of one cause are bounded, and those left out are counted.
+// TestLimiter checks that the lines of one cause are limited and those left out are counted.
 func TestLimiter(t *testing.T) {
 	RegisterTestingT(t)
 	l := logs.NewLimiter(2)
@@ -60,7 +60,7 @@
 		_, ok := l.Allow(now)
 		Expect(ok).To(Equal(want))
 	}
-	left, ok := l.Allow(now.Add(time.Second))
+	omitted, ok := l.Allow(now.Add(time.Second))
 	Expect(ok).To(BeTrue())
-	Expect(left).To(Equal(uint64(3)))
+	Expect(omitted).To(Equal(uint64(3)))
 }
--- a/internal/process/operator/bundle.go
+++ b/internal/process/operator/bundle.go
@@ -12,10 +12,11 @@
 	"github.com/fescueshed/fescueshed/internal/version/platform"
 )
 
-// rollPause is the time between two tries of a write whose outcome is unknown.
-const rollPause = 500 * time.Millisecond
+// rollRetryDelay is the time between two attempts of a write whose outcome is unknown.
+const rollRetryDelay = 500 * time.Millisecond
 
-// Prepare checks a bundle and writes it as the successor of the one in force.
+// Prepare checks the bundle in file from and writes it to file to, as the successor of the
+// bundle in force. by names the operator who prepares it.
 func Prepare(ctx context.Context, c *platform.Client, by, from, to string) (*bundle.Signed, error) {
 	src, err := os.ReadFile(from)
 	if err != nil {
@@ -32,7 +33,7 @@
 	return s, eris.Wrap(os.WriteFile(to, s.Encode(), fileMode), "bundle")
 }
 
-// Approve signs a prepared bundle with the approver's key.
+// Approve signs the prepared bundle in file from with the approver's key and writes it to file to.
 func Approve(keyFile, from, to string) (*bundle.Signed, error) {
 	k, err := LoadKey(keyFile)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return signed, eris.Wrap(os.WriteFile(to, signed.Encode(), fileMode), "bundle")
 }
 
-// Roll puts an approved bundle in force.
+// Roll puts the approved bundle in file from in force.
 func Roll(ctx context.Context, c *platform.Client, from string) (*bundle.Signed, error) {
 	s, err := readSigned(from)
 	if err != nil {
@@ -62,7 +63,7 @@
 	if len(s.Signature) == 0 {
 		return nil, eris.Errorf("bundle: %s isn't approved yet", from)
 	}
-	return s, c.Roll(ctx, s, rollPause)
+	return s, c.Roll(ctx, s, rollRetryDelay)
 }
 
 func readSigned(file string) (*bundle.Signed, error) {
--- a/internal/process/operator/keys.go
+++ b/internal/process/operator/keys.go
@@ -1,5 +1,5 @@
-// Package operator is what operators do: make keys, prepare, approve and roll
-// bundles, and look at daemons.
+// Package operator implements the operators' tasks: generating keys, preparing, approving
+// and rolling bundles, and evacuating zones.
 package operator
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// KeyFile is an operator's private key as it is kept in a file.
+// KeyFile is the content of a file with an operator's private key.
 type KeyFile struct {
 	Name string
 	// Private is the ed25519 seed followed by the public key (RFC 8032).
@@ -20,12 +20,12 @@
 }
 
 const (
-	keyFileMode  = 0o600
-	fileMode     = 0o644
-	othersMayUse = 0o077
+	keyFileMode         = 0o600
+	fileMode            = 0o644
+	nonOwnerPermissions = 0o077
 )
 
-// NewKey makes a key and writes it to a file that must not exist yet.
+// NewKey generates a key and writes it to file, which must not exist yet.
 func NewKey(name, file string) (*KeyFile, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -47,14 +47,14 @@
 	return k, eris.Wrap(f.Close(), "key")
 }
 
-// LoadKey reads a key file and refuses one that others can read.
+// LoadKey reads a key file. It rejects one that users other than its owner have any access to.
 func LoadKey(file string) (*KeyFile, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, eris.Wrap(err, "key")
 	}
-	if info.Mode().Perm()&othersMayUse != 0 {
-		return nil, eris.Errorf("key: %s has mode %o, so others can use it; want 600", file, info.Mode().Perm())
+	if info.Mode().Perm()&nonOwnerPermissions != 0 {
+		return nil, eris.Errorf("key: %s has mode %o, which gives other users access; want 600", file, info.Mode().Perm())
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -65,12 +65,12 @@
 		return nil, eris.Wrapf(err, "key: %s", file)
 	}
 	if k.Name == "" || len(k.Private) != ed25519.PrivateKeySize {
-		return nil, eris.Errorf("key: %s holds no private key", file)
+		return nil, eris.Errorf("key: %s has no name or no valid private key", file)
 	}
 	return &k, nil
 }
 
-// Public returns the public key as bundles and settings name it.
+// Public returns the public key in base64, as it is written in bundles and settings.
 func (k *KeyFile) Public() string {
 	return base64.StdEncoding.EncodeToString(k.Private.Public().(ed25519.PublicKey))
 }
--- a/internal/process/operator/zone.go
+++ b/internal/process/operator/zone.go
@@ -14,8 +14,9 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// Evacuator evacuates zones and takes them back.
+// Evacuator starts and ends evacuations of zones.
 type Evacuator struct {
+	// Evacuations has one marker for each evacuated zone.
 	Evacuations   objects.Markers
 	Registrations objects.ListWatcher[registry.Registration]
 }
@@ -35,36 +36,38 @@
 	return fmt.Sprintf("ZONE: %q has no upstream; zones with upstreams: %s", e.Zone, strings.Join(known, ", "))
 }
 
-// zonePause is the time between two tries of a call.
-const zonePause = 300 * time.Millisecond
+// zoneRetryDelay is the time between two attempts of a call to the store.
+const zoneRetryDelay = 300 * time.Millisecond
 
-// Evacuate asks that no new flow enters a zone. It tries until the store has answered or ctx ends, and
-// reports whether the zone wasn't evacuated before. A name that is mistyped must not pass for done:
-// the zone that was meant would be switched off full of flows.
-func (z *Evacuator) Evacuate(ctx context.Context, zone bundle.Zone) (bool, error) {
-	known, err := z.known(ctx)
+// Evacuate evacuates a zone, so that the zone gets no new flows. It retries until the store has answered or ctx
+// ends, and reports true if the zone wasn't evacuated before. It returns an UnknownZoneError for a zone without
+// registered upstreams: if a mistyped name counted as success, the intended zone would be switched off while
+// it still has flows.
+func (e *Evacuator) Evacuate(ctx context.Context, zone bundle.Zone) (bool, error) {
+	known, err := e.registeredZones(ctx)
 	if err != nil {
 		return false, err
 	}
 	if !slices.Contains(known, zone) {
 		return false, &UnknownZoneError{Zone: zone, Known: known}
 	}
-	return try(ctx, objects.ErrConflict, func() error { return z.Evacuations.Create(ctx, string(zone)) })
+	return retry(ctx, objects.ErrConflict, func() error { return e.Evacuations.Create(ctx, string(zone)) })
 }
 
-// EndEvacuation lets new flows enter a zone again. It reports whether the zone was evacuated. A zone without upstreams can
-// be taken back: they may all have gone meanwhile.
-func (z *Evacuator) EndEvacuation(ctx context.Context, zone bundle.Zone) (bool, error) {
-	return try(ctx, objects.ErrNotFound, func() error { return z.Evacuations.Delete(ctx, string(zone)) })
+// EndEvacuation ends the evacuation of a zone, so that the zone gets new flows again. It retries like Evacuate and
+// reports whether the zone was evacuated. It accepts a zone without registered upstreams: they may all have been
+// deregistered in the meantime.
+func (e *Evacuator) EndEvacuation(ctx context.Context, zone bundle.Zone) (bool, error) {
+	return retry(ctx, objects.ErrNotFound, func() error { return e.Evacuations.Delete(ctx, string(zone)) })
 }
 
-// known returns the zones in which upstreams are registered, in order.
-func (z *Evacuator) known(ctx context.Context) ([]bundle.Zone, error) {
+// registeredZones returns the zones in which upstreams are registered, sorted and without duplicates.
+func (e *Evacuator) registeredZones(ctx context.Context) ([]bundle.Zone, error) {
 	var out []bundle.Zone
 	for list := objects.NewListing[registry.Registration](false); !list.Done(); {
 		var p objects.Page[registry.Registration]
-		if _, err := try(ctx, nil, func() (err error) {
-			p, err = z.Registrations.List(ctx, list.Next())
+		if _, err := retry(ctx, nil, func() (err error) {
+			p, err = e.Registrations.List(ctx, list.Next())
 			return err
 		}); err != nil {
 			return nil, err
@@ -82,21 +85,21 @@
 	return slices.Compact(out), nil
 }
 
-// try makes a call until it is answered. It reports true for success and false for an error that says
-// that there was nothing to do.
-func try(ctx context.Context, nothing error, call func() error) (bool, error) {
+// retry repeats a call until it succeeds, returns errNoChange or ctx ends. It reports true for success and false
+// for errNoChange, which means that there was nothing to change. errNoChange may be nil.
+func retry(ctx context.Context, errNoChange error, call func() error) (bool, error) {
 	for {
 		err := call()
 		switch {
 		case err == nil:
 			return true, nil
-		case nothing != nil && eris.Is(err, nothing):
+		case errNoChange != nil && eris.Is(err, errNoChange):
 			return false, nil
 		}
 		select {
 		case <-ctx.Done():
 			return false, eris.Wrap(err, "zone")
-		case <-time.After(zonePause):
+		case <-time.After(zoneRetryDelay):
 		}
 	}
 }
--- a/internal/process/settings/cookie.go
+++ b/internal/process/settings/cookie.go
@@ -15,70 +15,73 @@
 	"github.com/fescueshed/fescueshed/internal/version/hujson"
 )
 
-// Cookie are the settings of a daemon that carries flows by cookie.
+// Cookie holds the settings of a daemon that forwards flows by cookie.
 type Cookie struct {
 	// Name identifies the host across restarts.
 	Name string
 	Zone bundle.Zone
-	// Regions holds the region of each zone. Without it, no bundle may bind a route to regions.
+	// Regions maps each zone to its region. If it is empty, no bundle may restrict a route to regions.
 	Regions map[bundle.Zone]bundle.Region
-	// DataAddress takes callers' packets (UDP). Answers go to callers at its port.
+	// DataAddress receives callers' packets (UDP). Responses are sent to callers at its port.
 	DataAddress netip.AddrPort
-	// ReadinessAddress tells routers whether to send packets here (HTTP).
+	// ReadinessAddress serves the readiness checks by which routers decide whether to send
+	// packets to this daemon (HTTP).
 	ReadinessAddress netip.AddrPort
-	// ControlAddress takes messages of other daemons (UDP) and JSON-RPC 2.0 (TCP).
+	// ControlAddress receives messages from other daemons (UDP) and JSON-RPC 2.0 (TCP).
 	ControlAddress netip.AddrPort
-	// AnnouncedAddress is where other daemons reach ControlAddress, if that differs, as
-	// behind address translation.
+	// AnnouncedAddress is the address at which other daemons reach ControlAddress, if it
+	// differs from ControlAddress, for example behind network address translation.
 	AnnouncedAddress netip.AddrPort
 	// MetricsAddress serves metrics (HTTP).
 	MetricsAddress netip.AddrPort
 	// Store is the URL of the platform's object store.
 	Store string
-	// Seeds are control addresses of other hosts. They may be out of date.
+	// Seeds are the control addresses of other hosts. They may be out of date.
 	Seeds []netip.AddrPort
-	// Secret authenticates daemons to each other, at least 16 bytes in base64. If it
-	// is empty, a key that is the same on all hosts is derived from Store: enough
-	// against strays, not against attackers within the network.
+	// Secret authenticates daemons to each other. It has at least 16 bytes, in base64. If
+	// it is empty, a key that is the same on all hosts is derived from Store: this protects
+	// against misdirected messages, but not against attackers within the network.
 	Secret []byte
-	// AcceptedSecrets are read too, though nothing is written with them: the next Secret
-	// before it is one, and the last one until no daemon writes with it any more.
+	// AcceptedSecrets are accepted in received messages, but no message is sent with them.
+	// To rotate Secret, list the next one here before it becomes Secret, and the previous
+	// one until no daemon sends with it any more.
 	AcceptedSecrets []Secret
 	// FirstStart says that the whole system starts for the first time: no callers wait for it, so
-	// a daemon leaves it to others to read the store.
+	// this daemon leaves it to others to read the store.
 	FirstStart bool
-	// CPUShare is the host's share of a core. Larger hosts read the store for others.
+	// CPUShare is the number of CPU cores that the host may use, such as 0.1. Larger hosts
+	// read the store for others.
 	CPUShare float64
-	// FlowLifetime is how long a flow may live.
+	// FlowLifetime is the maximum lifetime of a flow.
 	FlowLifetime bundle.Duration
-	// Grace is the time from SIGTERM to the end of the process, at most.
+	// Grace is the maximum time from SIGTERM to the end of the process.
 	Grace bundle.Duration
-	// Linger is how long a daemon serves on after SIGTERM at most. It ends sooner
-	// once routers have stopped sending to it. Zero takes a part of Grace.
+	// Linger is the maximum time for which a daemon continues to serve after SIGTERM. It
+	// stops earlier once routers no longer send to it. Zero means a fixed share of Grace.
 	Linger bundle.Duration
 	// WatchWait is how long one watch of the store waits for changes. A watch may
-	// hear nothing while changes are made, so this is part of the time in which a
-	// bundle or a drain is in force.
+	// receive nothing although changes are made, so this wait is part of the time until
+	// a bundle or a drain takes effect.
 	WatchWait bundle.Duration
-	// ProbeTimeout bounds one attempt to connect to an upstream that is doubted.
+	// ProbeTimeout bounds one attempt to connect to a suspected upstream.
 	ProbeTimeout bundle.Duration
 	// ProbePeriod is the time between two membership probes.
 	ProbePeriod bundle.Duration
-	// LogsPerSecond bounds the lines that decisions about flows write.
+	// LogsPerSecond limits the log lines per second about decisions on flows.
 	LogsPerSecond int
 }
 
-// Secret is a key in base64.
+// Secret is a key that is encoded in base64 in the settings.
 type Secret []byte
 
-// UnmarshalText reads base64.
+// UnmarshalText implements encoding.TextUnmarshaler. It decodes base64.
 func (s *Secret) UnmarshalText(b []byte) error {
 	v, err := base64.StdEncoding.DecodeString(string(b))
 	*s = v
 	return eris.Wrap(err, "want base64")
 }
 
-// CookieDefaults returns the settings of a daemon that is told nothing else.
+// CookieDefaults returns the default settings of a daemon that forwards flows by cookie.
 func CookieDefaults() Cookie {
 	return Cookie{
 		FlowLifetime:  bundle.Duration(time.Minute),
@@ -90,11 +93,11 @@
 	}
 }
 
-// LoadCookie reads and checks a file. Problems of its content are returned
-// together as a *hujson.FindingsError.
+// LoadCookie reads and checks the settings in file. All problems of the content are
+// returned together as a *hujson.FindingsError.
 func LoadCookie(file string) (*Cookie, error) { return load(file, DecodeCookie) }
 
-// DecodeCookie reads and checks src, which stands in file.
+// DecodeCookie decodes and checks src, the content of file. Errors name file.
 func DecodeCookie(file string, src []byte) (*Cookie, error) {
 	return decode(file, src, CookieDefaults(), (*Cookie).check)
 }
@@ -107,11 +110,11 @@
 		f.Add("Zone", "is missing")
 	}
 	if _, ok := s.Regions[s.Zone]; len(s.Regions) > 0 && !ok {
-		f.Add("Regions", "doesn't have the own zone %q", s.Zone)
+		f.Add("Regions", "has no entry for the daemon's own zone %q", s.Zone)
 	}
 	checkAddress(f, "DataAddress", s.DataAddress)
 	if !s.DataAddress.Addr().Is4() {
-		f.Add("DataAddress", "is %q, want an IPv4 address: packets carry no other", s.DataAddress)
+		f.Add("DataAddress", "is %q, want an IPv4 address: the packet format supports no other", s.DataAddress)
 	}
 	checkAddress(f, "ReadinessAddress", s.ReadinessAddress)
 	checkAddress(f, "ControlAddress", s.ControlAddress)
@@ -145,20 +148,20 @@
 	checkRange(f, "LogsPerSecond", s.LogsPerSecond, 1, 1_000_000)
 }
 
-// lingerPart is the part of Grace for which a daemon serves on if Linger isn't set. The
-// rest is for its end, which takes milliseconds, on a host that is short of processor
-// time.
-const lingerPart = 0.75
+// defaultLingerShare is the share of Grace for which a daemon continues to serve if Linger isn't
+// set. The rest of Grace is for the shutdown itself, which takes milliseconds, on a host that is
+// short of CPU time.
+const defaultLingerShare = 0.75
 
-// LingerLimit returns how long a daemon serves on after SIGTERM at most.
+// LingerLimit returns the maximum time for which a daemon continues to serve after SIGTERM.
 func (s *Cookie) LingerLimit() time.Duration {
 	if s.Linger > 0 {
 		return time.Duration(s.Linger)
 	}
-	return time.Duration(lingerPart * float64(s.Grace))
+	return time.Duration(defaultLingerShare * float64(s.Grace))
 }
 
-// Announced returns the control address that others are told.
+// Announced returns the control address that the daemon announces to other daemons.
 func (s *Cookie) Announced() netip.AddrPort {
 	if s.AnnouncedAddress.IsValid() {
 		return s.AnnouncedAddress
@@ -166,12 +169,12 @@
 	return s.ControlAddress
 }
 
-// KnownRegions returns the regions of all zones, in order.
+// KnownRegions returns the regions of all zones, sorted and without duplicates.
 func (s *Cookie) KnownRegions() []bundle.Region {
 	return slices.Compact(slices.Sorted(maps.Values(s.Regions)))
 }
 
-// Print returns the settings as JSON, the secrets left out.
+// Print returns the settings as JSON without the secrets.
 func (s Cookie) Print() []byte {
 	s.Secret, s.AcceptedSecrets = nil, nil
 	return printJSON(s)
--- a/internal/process/settings/cookie_test.go
+++ b/internal/process/settings/cookie_test.go
@@ -22,8 +22,8 @@
   "AcceptedSecrets": ["ZmVkY2JhOTg3NjU0MzIxMA=="],
 }`
 
-var _ = Describe("Settings of a balancer by cookie", func() {
-	It("hold the secrets that are accepted, and print none", func() {
+var _ = Describe("Settings of a balancer that forwards by cookie", func() {
+	It("hold the accepted secrets, but print none", func() {
 		s, err := settings.DecodeCookie("f", []byte(goodCookie))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.AcceptedSecrets).To(Equal([]settings.Secret{settings.Secret("fedcba9876543210")}))
@@ -31,15 +31,15 @@
 	})
 
 	for name, tc := range map[string]struct{ old, new, want string }{
-		"accepted secret too short": {`ZmVkY2JhOTg3NjU0MzIxMA==`, `MDEy`, "f:11: AcceptedSecrets[0]: has 3 bytes"},
-		"accepted secret no base64": {`ZmVkY2JhOTg3NjU0MzIxMA==`, `!!`, "f:11: AcceptedSecrets[0]"},
-		"IPv6":                      {`192.0.2.1:6081`, `[2001:db8::1]:6081`, "f:4: DataAddress"},
+		"accepted secret too short":  {`ZmVkY2JhOTg3NjU0MzIxMA==`, `MDEy`, "f:11: AcceptedSecrets[0]: has 3 bytes"},
+		"accepted secret not base64": {`ZmVkY2JhOTg3NjU0MzIxMA==`, `!!`, "f:11: AcceptedSecrets[0]"},
+		"IPv6":                       {`192.0.2.1:6081`, `[2001:db8::1]:6081`, "f:4: DataAddress"},
 		"regions without own zone": {
-			`"Zone": "a",`, `"Zone": "a", "Regions": {"b": "north"},`, `f:3: Regions: doesn't have the own zone "a"`,
+			`"Zone": "a",`, `"Zone": "a", "Regions": {"b": "north"},`, `f:3: Regions: has no entry for the daemon's own zone "a"`,
 		},
-		"no share": {`0.1`, `0`, "f:9: CPUShare"},
+		"zero CPU share": {`0.1`, `0`, "f:9: CPUShare"},
 	} {
-		It("are refused with file, line and field: "+name, func() {
+		It("are rejected with file, line and field: "+name, func() {
 			_, err := settings.DecodeCookie("f", []byte(strings.Replace(goodCookie, tc.old, tc.new, 1)))
 			Expect(err).To(MatchError(ContainSubstring(tc.want)))
 		})
--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a daemon: JSON with comments, every
-// value checked, all findings reported together.
+// Package settings reads the settings of a daemon from JSON with comments. It checks
+// every value and reports all findings together.
 package settings
 
 import (
@@ -16,47 +16,50 @@
 	"github.com/fescueshed/fescueshed/internal/version/hujson"
 )
 
-// Settings are what one daemon is told at its start.
+// Settings holds the settings of a daemon that forwards Geneve packets. It reads them at
+// its start.
 type Settings struct {
 	// Name identifies the host across restarts.
 	Name string
 	Zone bundle.Zone
-	// DataAddress takes Geneve packets (UDP).
+	// DataAddress receives Geneve packets (UDP).
 	DataAddress netip.AddrPort
-	// ControlAddress takes membership messages (UDP) and JSON-RPC 2.0 (TCP).
+	// ControlAddress receives membership messages (UDP) and JSON-RPC 2.0 (TCP).
 	ControlAddress netip.AddrPort
 	// AdminAddress serves status, metrics and health (HTTP).
 	AdminAddress netip.AddrPort
 	// Platform is the URL of the platform's object service.
 	Platform string
-	// Seeds are control addresses of other hosts, asked beside the platform's list,
-	// so that a new host finds the others while the platform is down.
+	// Seeds are control addresses of other hosts. The daemon contacts them in addition to
+	// the hosts listed by the platform, so that a new host finds the others while the
+	// platform is down.
 	Seeds []netip.AddrPort
-	// Fabrics are the addresses that bring callers' packets and take answers.
+	// Fabrics are the addresses of the fabric that sends callers' packets and receives the
+	// responses.
 	Fabrics []netip.AddrPort
-	// Secret authenticates daemons to each other, at least 16 bytes in base64.
+	// Secret authenticates daemons to each other. It has at least 16 bytes, in base64.
 	Secret []byte
 	// Operators are trusted to approve bundles.
 	Operators []bundle.Operator
-	// Workers is how many goroutines handle packets.
+	// Workers is the number of goroutines that handle packets.
 	Workers int
-	// BatchPackets is how many packets one system call moves at most.
+	// BatchPackets is the maximum number of packets per system call.
 	BatchPackets int
 	// SocketBufferBytes is the size of each socket's buffers.
 	SocketBufferBytes int
-	// Lease is for how long the daemon may lose sight of its clock before it
-	// asks others about its records.
+	// Lease is how long the daemon may run without checking the clock before it must
+	// ask other members to confirm its records.
 	Lease bundle.Duration
 	// ProbePeriod is the time between two membership probes.
 	ProbePeriod bundle.Duration
-	// HandoverPerSecond bounds the records told to other members each second.
+	// HandoverPerSecond limits the records that the daemon sends to other members per second.
 	HandoverPerSecond int
-	// LeaveTimeout bounds a graceful shutdown.
+	// LeaveTimeout is the maximum time of a graceful shutdown.
 	LeaveTimeout bundle.Duration
-	// LeaveLinger is how long a leaving daemon still takes packets that the
-	// fabric sends it after all records were handed over.
+	// LeaveLinger is how long a leaving daemon continues to receive packets from the
+	// fabric after it has handed over all its records.
 	LeaveLinger bundle.Duration
-	// Debug serves pprof and the list of blocked networks at the admin address.
+	// Debug enables pprof and the list of blocked networks at the admin address.
 	Debug bool
 }
 
@@ -66,7 +69,7 @@
 	maxBatch       = 1024
 )
 
-// Defaults returns the settings of a daemon that is told nothing else.
+// Defaults returns the default settings of a daemon that forwards Geneve packets.
 func Defaults() Settings {
 	return Settings{
 		Workers:           2,
@@ -80,11 +83,11 @@
 	}
 }
 
-// Load reads and checks a file. Problems of its content are returned together
-// as a *hujson.FindingsError.
+// Load reads and checks the settings in file. All problems of the content are returned
+// together as a *hujson.FindingsError.
 func Load(file string) (*Settings, error) { return load(file, Decode) }
 
-// Decode reads and checks src, which stands in file.
+// Decode decodes and checks src, the content of file. Errors name file.
 func Decode(file string, src []byte) (*Settings, error) {
 	return decode(file, src, Defaults(), (*Settings).check)
 }
@@ -162,7 +165,7 @@
 	}
 }
 
-// Print returns the settings as JSON, the secret left out.
+// Print returns the settings as JSON without the secret.
 func (s Settings) Print() []byte {
 	s.Secret = nil
 	return printJSON(s)
@@ -171,7 +174,7 @@
 func printJSON(v any) []byte {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		panic(err) // All fields are of types that encode.
+		panic(err) // All fields have types that can be encoded as JSON.
 	}
 	return b
 }
--- a/internal/process/status/burn.go
+++ b/internal/process/status/burn.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// BurnRate says how fast a service uses up what its objective allows.
+// BurnRate says how fast a service uses up the error budget of its objective.
 type BurnRate struct {
 	Service string
 	RequestStatus
-	// Rate is the share of requests that were answered late, failed or were refused, over
-	// the share that the objective allows. At 1 the whole allowance of a period is used
-	// up in just that period; at 14, that of a month in two days.
+	// Rate is the share of requests that were answered late, failed or were refused, divided
+	// by the share that the objective allows. At a rate of 1, the error budget of a period lasts
+	// exactly for that period; at 14, the budget of a month lasts for two days.
 	Rate float64
 }
 
-// Known returns how many requests are known to have ended well or badly.
+// Known returns the number of requests with a known outcome, good or bad.
 func (r *RequestStatus) Known() uint64 { return r.InTime + r.bad() }
 
 func (r *RequestStatus) bad() uint64 { return r.Late + r.Failed + r.Refused }
 
-// BurnRates returns the burn of each service between two rounds of asking all daemons,
-// in the order of their names. objective is the share of requests that must be answered
-// in time, less than one. A daemon that started between the rounds counts from zero, one
-// that is missing in one of them not at all.
+// BurnRates returns the burn rate of each service between two rounds of querying all daemons,
+// sorted by service name. objective is the share of requests that must be answered in time,
+// less than one. For a daemon that restarted between the rounds, its counters of the second
+// round count in full. A daemon that is missing in one of the rounds doesn't count.
 func BurnRates(before, after []Status, objective float64) []BurnRate {
 	var out []BurnRate
 	for i := range after {
@@ -32,7 +32,7 @@
 			continue
 		}
 		for _, r := range after[i].Requests {
-			sum := find(&out, func(b *BurnRate) bool { return b.Service == r.Service })
+			sum := findOrAppend(&out, func(b *BurnRate) bool { return b.Service == r.Service })
 			sum.Service = r.Service
 			sum.RequestStatus = sum.plus(r.since(old))
 		}
@@ -47,7 +47,8 @@
 	return out
 }
 
-// requestsOf returns what a daemon told, nil if it isn't there.
+// requestsOf returns a copy of the request counts that a daemon reported, or nil if the daemon
+// isn't in list.
 func requestsOf(list []Status, name string) []RequestStatus {
 	for i := range list {
 		if list[i].Name == name {
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// since returns what was counted since old. Counters that went back are those of a
-// daemon that started again.
+// since returns what was counted after old. If a counter has decreased, the daemon has
+// restarted, and since returns r as it is.
 func (r RequestStatus) since(old []RequestStatus) RequestStatus {
 	i := slices.IndexFunc(old, func(o RequestStatus) bool { return o.Service == r.Service })
 	if i < 0 {
@@ -72,7 +73,7 @@
 	r.Late -= o.Late
 	r.Failed -= o.Failed
 	r.Refused -= o.Refused
-	r.Unknown -= min(r.Unknown, o.Unknown) // It falls when a late answer comes.
+	r.Unknown -= min(r.Unknown, o.Unknown) // It decreases when a late response arrives.
 	return r
 }
 
--- a/internal/process/status/evacuation.go
+++ b/internal/process/status/evacuation.go
@@ -8,16 +8,16 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// EvacuationStatus is a zone that is evacuated.
+// EvacuationStatus is the state of an evacuated zone.
 type EvacuationStatus struct {
 	Zone bundle.Zone
-	// Since is when this daemon was told.
+	// Since is when this daemon learned of the evacuation.
 	Since time.Time
-	// Flows are those that are still open there, as far as they pass this daemon.
+	// Flows counts the flows through this daemon that are still open in the zone.
 	Flows int
 }
 
-// WriteEvacuationMetrics writes evacuated zones as metrics.
+// WriteEvacuationMetrics writes metrics of evacuated zones in Prometheus text format.
 func WriteEvacuationMetrics(w io.Writer, zones []EvacuationStatus) {
 	for _, e := range zones {
 		fmt.Fprintf(w, "fescueshed_zone_evacuated{zone=%q} 1\n", e.Zone)
--- a/internal/process/status/status.go
+++ b/internal/process/status/status.go
@@ -1,5 +1,6 @@
-// Package status is what a daemon tells of itself over HTTP, and what is made of the
-// words of several: sums, imbalance, and how fast a service-level objective burns.
+// Package status defines the status that a daemon reports over HTTP, and what is computed
+// from the statuses of several daemons: sums, load imbalance, and how fast services burn
+// the error budget of their service-level objective.
 package status
 
 import (
@@ -14,57 +15,60 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-// Path is where daemons serve their status.
+// Path is the URL path at which daemons serve their status.
 const Path = "/status"
 
-// Status is what a daemon tells of itself.
+// Status is the status that a daemon reports.
 type Status struct {
 	Name    string
 	Zone    bundle.Zone
 	Version bundle.Version
-	// Prepared and Approved are who signed the bundle, if it says so.
+	// Prepared and Approved name the operators who prepared and approved the bundle, if the bundle
+	// names them.
 	Prepared string
 	Approved string
 	Members  []MemberStatus
-	// Flows counts records, the ones kept as backup too.
+	// Flows counts flow records, including those that the daemon holds as a replica.
 	Flows        int
 	OpenRequests int
 	Upstreams    []UpstreamStatus
 	Drops        []DropStatus
-	// Store is what the daemon knows of the platform's store, nil if it follows none.
+	// Store is the state of the daemon's copy of the platform's store, or nil if it doesn't follow one.
 	Store *StoreStatus `json:",omitempty"`
-	// Evacuated are the zones that get no new flow from this daemon.
+	// Evacuated are the zones to which this daemon sends no new flows.
 	Evacuated []EvacuationStatus
 	Requests  []RequestStatus
 }
 
-// StoreStatus is how a daemon knows the store's content.
+// StoreStatus is the state of a daemon's copy of the store's content.
 type StoreStatus struct {
-	// Epoch counts how often the store was restored from a snapshot, EpochSince is when this daemon heard of
-	// the last time, zero if that was before its start.
+	// Epoch counts how often the store was restored from a snapshot. EpochSince is when this daemon learned of
+	// the last restore, or zero if that was before its start.
 	Epoch      objects.Epoch
 	EpochSince time.Time
 	Kinds      []StoreKindStatus
-	// HeldOverOlder and HeldThoughMissing count upstreams that are used by what was known before that.
+	// HeldOverOlder and HeldThoughMissing count upstreams that the daemon uses as they were registered before
+	// the last restore, since the store now has an older entry for them, or none.
 	HeldOverOlder, HeldThoughMissing int
 }
 
-// StoreKindStatus is as of when a kind of objects is known.
+// StoreKindStatus says how current a daemon's copy of one kind of objects is.
 type StoreKindStatus struct {
 	Kind string
-	// AsOf is the epoch and the revision, Age how long ago the store confirmed that nothing is newer, in seconds.
+	// AsOf is the epoch and the revision of the copy. Age is the time since the store confirmed that there is
+	// nothing newer, in seconds.
 	AsOf string
 	Age  float64
 }
 
-// MemberStatus is a member as the daemon sees it.
+// MemberStatus is the state of a member from the daemon's point of view.
 type MemberStatus struct {
 	Name  string
 	Zone  bundle.Zone
 	State string
 }
 
-// UpstreamStatus is an upstream with what this daemon has in progress there.
+// UpstreamStatus is an upstream with the flows and requests that this daemon has in progress there.
 type UpstreamStatus struct {
 	Service  string
 	Name     string
@@ -75,36 +79,38 @@
 	Requests int64
 }
 
-// DropStatus counts packets not passed on for one cause.
+// DropStatus counts the packets that weren't forwarded for one cause.
 type DropStatus struct {
 	Cause   string
 	Packets uint64
 }
 
-// RequestStatus counts how requests of a service ended, as far as this daemon saw it
+// RequestStatus counts the outcomes of a service's requests that this daemon has observed
 // since its start.
 type RequestStatus struct {
 	Service string
-	// InTime and Late were answered within the objective of their route, or later.
+	// InTime counts requests that were answered within the objective of their route, Late
+	// those that were answered later.
 	InTime, Late uint64
-	// Failed were given up by their caller or ended by a reset, Refused weren't placed.
+	// Failed counts requests that their caller gave up or that ended with a reset, Refused
+	// those that weren't placed.
 	Failed, Refused uint64
-	// Unknown had no answer here: they failed, or routers moved their flow to another
-	// daemon, which saw the answer.
+	// Unknown counts requests whose response this daemon didn't see: they failed, or routers
+	// moved their flow to another daemon, which saw the response.
 	Unknown uint64
 }
 
-// Handler serves a status as JSON.
+// Handler returns a handler that serves the status from get as JSON.
 func Handler(get func() Status) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
-		_ = enc.Encode(get()) // The caller went away.
+		_ = enc.Encode(get()) // An error means that the client closed the connection.
 	})
 }
 
-// Fetch reads the status of the daemon whose admin or metrics address is given.
+// Fetch requests the status of a daemon. address is its admin or metrics address.
 func Fetch(ctx context.Context, address string) (*Status, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, http.NoBody)
 	if err != nil {
@@ -114,9 +120,9 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "status")
 	}
-	defer func() { _ = resp.Body.Close() }() // The answer was read.
+	defer func() { _ = resp.Body.Close() }() // The body was only read, so an error has no consequence.
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("status: %s answered %s", address, resp.Status)
+		return nil, eris.Errorf("status: %s: HTTP status %s", address, resp.Status)
 	}
 	var s Status
 	return &s, eris.Wrapf(json.NewDecoder(resp.Body).Decode(&s), "status: %s", address)
--- a/internal/process/status/summary.go
+++ b/internal/process/status/summary.go
@@ -8,7 +8,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Summary is what several daemons told, taken together.
+// Summary aggregates the statuses of several daemons.
 type Summary struct {
 	Versions  []VersionCount
 	Upstreams []UpstreamStatus
@@ -17,33 +17,34 @@
 	Evacuated []EvacuatedZone
 }
 
-// EvacuatedZone is a zone that some balancers hold for evacuated.
+// EvacuatedZone is a zone that at least one balancer treats as evacuated.
 type EvacuatedZone struct {
 	Zone bundle.Zone
-	// Since is when the first of them was told.
+	// Since is when the first of these balancers learned of the evacuation.
 	Since time.Time
-	// Flows are those still open there.
+	// Flows counts the flows that are still open in the zone.
 	Flows int
-	// Balancers is how many know it, Of how many were asked: where they differ, some still send new flows there.
+	// Balancers counts the balancers that know of the evacuation, Of all that were queried. If they differ,
+	// some balancers still send new flows to the zone.
 	Balancers, Of int
 }
 
-// VersionCount says how many balancers of a zone have a version in force.
+// VersionCount is the number of balancers of a zone that have a version in force.
 type VersionCount struct {
 	Zone      bundle.Zone
 	Version   bundle.Version
 	Balancers int
 }
 
-// ServiceLoad says how evenly the flows of a service are spread.
+// ServiceLoad says how evenly the flows of a service are distributed.
 type ServiceLoad struct {
 	Name string
-	// Imbalance is the largest over the mean number of flows for each slot, over
-	// the upstreams that take new flows; zero if there are no flows.
+	// Imbalance is the maximum divided by the mean number of flows per slot, among
+	// the upstreams that accept new flows. It is zero if there are no flows.
 	Imbalance float64
 }
 
-// Summarize adds up what daemons told. Each flow counts at its home only.
+// Summarize aggregates the statuses of daemons. Each flow is counted at its owner only.
 func Summarize(all []Status) Summary {
 	var s Summary
 	for i := range all {
@@ -65,17 +66,17 @@
 }
 
 func (s *Summary) add(d *Status) {
-	v := find(&s.Versions, func(v *VersionCount) bool { return v.Zone == d.Zone && v.Version == d.Version })
+	v := findOrAppend(&s.Versions, func(v *VersionCount) bool { return v.Zone == d.Zone && v.Version == d.Version })
 	v.Zone, v.Version = d.Zone, d.Version
 	v.Balancers++
 	for _, u := range d.Upstreams {
-		sum := find(&s.Upstreams, func(x *UpstreamStatus) bool { return x.Service == u.Service && x.Name == u.Name })
+		sum := findOrAppend(&s.Upstreams, func(x *UpstreamStatus) bool { return x.Service == u.Service && x.Name == u.Name })
 		flows, requests := sum.Flows+u.Flows, sum.Requests+u.Requests
 		*sum = u
 		sum.Flows, sum.Requests = flows, requests
 	}
 	for _, e := range d.Evacuated {
-		sum := find(&s.Evacuated, func(x *EvacuatedZone) bool { return x.Zone == e.Zone })
+		sum := findOrAppend(&s.Evacuated, func(x *EvacuatedZone) bool { return x.Zone == e.Zone })
 		if sum.Balancers == 0 || e.Since.Before(sum.Since) {
 			sum.Since = e.Since
 		}
@@ -84,14 +85,15 @@
 		sum.Balancers++
 	}
 	for _, drop := range d.Drops {
-		sum := find(&s.Drops, func(x *DropStatus) bool { return x.Cause == drop.Cause })
+		sum := findOrAppend(&s.Drops, func(x *DropStatus) bool { return x.Cause == drop.Cause })
 		sum.Cause = drop.Cause
 		sum.Packets += drop.Packets
 	}
 }
 
-// find returns the entry for which f holds, or a new one.
-func find[T any](list *[]T, f func(*T) bool) *T {
+// findOrAppend returns the first entry for which f returns true. If there is none, it appends a
+// zero entry and returns that.
+func findOrAppend[T any](list *[]T, f func(*T) bool) *T {
 	for i := range *list {
 		if f(&(*list)[i]) {
 			return &(*list)[i]
@@ -102,7 +104,7 @@
 	return &(*list)[len(*list)-1]
 }
 
-// serviceLoads takes upstreams in the order of their services.
+// serviceLoads returns the load of each service. The upstreams must be sorted by service.
 func serviceLoads(upstreams []UpstreamStatus) []ServiceLoad {
 	var out []ServiceLoad
 	for len(upstreams) > 0 {
--- a/internal/process/status/summary_test.go
+++ b/internal/process/status/summary_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("Summary", func() {
 	It("adds up flows and drops, and counts versions by zone", func() {
-		told := func(first, second int64) status.Status {
+		newStatus := func(first, second int64) status.Status {
 			s := status.Status{Zone: "a", Version: 1, Drops: []status.DropStatus{{Cause: "Refused", Packets: 2}}}
 			s.Upstreams = []status.UpstreamStatus{
 				{Service: "s", Name: "u1", Slots: 2, Flows: first},
@@ -20,20 +20,20 @@
 			}
 			return s
 		}
-		r := status.Summarize([]status.Status{told(3, 1), told(3, 1)})
+		r := status.Summarize([]status.Status{newStatus(3, 1), newStatus(3, 1)})
 		Expect(r.Versions).To(Equal([]status.VersionCount{{Zone: "a", Version: 1, Balancers: 2}}))
 		Expect(r.Drops).To(Equal([]status.DropStatus{{Cause: "Refused", Packets: 4}}))
 		Expect(r.Services).To(HaveLen(1))
-		Expect(r.Services[0].Imbalance).To(BeNumerically("~", 1.5), "6 and 2, the draining one left out")
+		Expect(r.Services[0].Imbalance).To(BeNumerically("~", 1.5), "6 and 2 flows, without the draining upstream")
 	})
 
-	// A zone is switched off though one balancer never heard of its evacuation: the sum must show that.
-	It("tells how many balancers know of an evacuated zone, and its open flows", func() {
+	// Operators switch off a zone although one balancer doesn't know of its evacuation. The summary must show this.
+	It("holds how many balancers know of an evacuated zone, and its open flows", func() {
 		since := time.Unix(1000, 0)
-		told := func(at time.Time, flows int) status.Status {
+		newStatus := func(at time.Time, flows int) status.Status {
 			return status.Status{Evacuated: []status.EvacuationStatus{{Zone: "a", Since: at, Flows: flows}}}
 		}
-		s := status.Summarize([]status.Status{told(since.Add(time.Second), 3), {}, told(since, 4)})
+		s := status.Summarize([]status.Status{newStatus(since.Add(time.Second), 3), {}, newStatus(since, 4)})
 		Expect(s.Evacuated).To(Equal([]status.EvacuatedZone{{Zone: "a", Since: since, Flows: 7, Balancers: 2, Of: 3}}))
 	})
 
--- a/internal/process/steps/steps.go
+++ b/internal/process/steps/steps.go
@@ -1,15 +1,15 @@
-// Package steps starts the parts of a process one after the other and ends them in
-// the reverse order.
+// Package steps starts the components of a process one after the other and stops them in
+// reverse order.
 package steps
 
 import "context"
 
-// Step starts a part that lives until its clean-up function is called.
+// Step starts a component that runs until the returned clean-up function is called.
 type Step func(context.Context) (func(), error)
 
-// Run takes the steps in their order. If one fails, those before it are undone. The
-// clean-up function undoes all, the last one first; the context that the steps got
-// ends before.
+// Run executes the steps in order. If one fails, Run cleans up those before it and returns the
+// error. The returned clean-up function cancels the context that was passed to the steps, then
+// calls the clean-up functions of all steps, the last one first.
 func Run(ctx context.Context, list ...Step) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
 	cleanups := []func(){cancel}
--- a/internal/process/timer/pause.go
+++ b/internal/process/timer/pause.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// PauseDetector notices that the process stood still: that it was stopped, or that its
-// host was suspended, which the steady clock doesn't count. It is safe for
+// PauseDetector detects pauses of the process: that the process was stopped, or that
+// its host was suspended, which the monotonic clock doesn't count. It is safe for
 // concurrent use.
 type PauseDetector struct {
 	limit time.Duration
@@ -17,48 +17,51 @@
 
 	mu   sync.Mutex
 	last time.Time
-	// asleep is for how long the host was suspended when that was last looked at.
-	asleep time.Duration
-	count  uint64
+	// suspendedTime is how long the host had been suspended at the last check, up to a constant.
+	suspendedTime time.Duration
+	count         uint64
 }
 
-// NewPauseDetector returns a PauseDetector that takes gaps of more than limit between two calls
-// of Seen for a pause. Seen must be called more often than that.
+// NewPauseDetector returns a PauseDetector that counts a gap of more than limit between two
+// calls of Observe as a pause. Observe must be called more often than that.
 func NewPauseDetector(limit time.Duration) *PauseDetector {
 	now := time.Now()
-	return &PauseDetector{limit: limit, start: now, last: now, asleep: sinceBoot()}
+	return &PauseDetector{limit: limit, start: now, last: now, suspendedTime: sinceBoot()}
 }
 
-// Observe tells that the process runs now and returns how often it was paused so far.
+// Observe records that the process runs at the time now. It returns how often the process
+// was paused so far.
 func (p *PauseDetector) Observe(now time.Time) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.last) > p.limit || p.suspended(now) {
+	if now.Sub(p.last) > p.limit || p.wasSuspended(now) {
 		p.count++
 	}
 	p.last = now
 	return p.count
 }
 
-// suspended looks at the clock that counts suspension only if the time of day
-// moved in another way than the steady clock, so that it costs no system call.
-func (p *PauseDetector) suspended(now time.Time) bool {
-	steady := now.Sub(p.last)
+// wasSuspended reports whether the host was suspended for longer than the limit since the
+// last check. It reads the clock that includes suspension only if the wall clock has
+// advanced further than the monotonic clock by at least the limit. So it usually costs no system
+// call.
+func (p *PauseDetector) wasSuspended(now time.Time) bool {
+	monotonic := now.Sub(p.last)
 	wall := now.Round(0).Sub(p.last.Round(0))
-	if wall-steady < p.limit {
+	if wall-monotonic < p.limit {
 		return false
 	}
-	asleep := sinceBoot() - now.Sub(p.start)
-	longer := asleep - p.asleep
-	p.asleep = asleep
-	return longer > p.limit
+	suspendedTime := sinceBoot() - now.Sub(p.start)
+	added := suspendedTime - p.suspendedTime
+	p.suspendedTime = suspendedTime
+	return added > p.limit
 }
 
-// sinceBoot returns the time since the host started, suspension included.
+// sinceBoot returns the time since the host booted, including suspension.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return 0 // Without this clock only stops are noticed.
+		return 0 // Without this clock, only stops of the process are detected.
 	}
 	return time.Duration(ts.Nano())
 }
--- a/internal/process/timer/timer.go
+++ b/internal/process/timer/timer.go
@@ -1,5 +1,5 @@
-// Package timer is the one source of time of a process. Parts subscribe to it
-// instead of keeping tickers of their own.
+// Package timer runs the periodic work of a process from one timer. Components subscribe
+// to it instead of running tickers of their own. It also detects pauses of the process.
 package timer
 
 import (
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Service calls its subscribers at their periods, one after the other, on one
-// goroutine. It is safe for concurrent use.
+// Service calls its subscribers periodically, one after the other, on one goroutine.
+// It is safe for concurrent use.
 type Service struct {
-	mu   sync.Mutex
-	subs []*subscription
-	wake chan struct{}
-	done chan struct{}
-	idle chan struct{}
+	mu      sync.Mutex
+	subs    []*subscription
+	wake    chan struct{}
+	done    chan struct{}
+	stopped chan struct{}
 }
 
 type subscription struct {
@@ -24,23 +24,23 @@
 }
 
 // New starts a service. The clean-up function stops it and waits for a call in
-// progress; it must not be called by a subscriber.
+// progress to return. A subscriber must not call it.
 func New() (*Service, func()) {
 	s := &Service{
-		wake: make(chan struct{}, 1),
-		done: make(chan struct{}),
-		idle: make(chan struct{}),
+		wake:    make(chan struct{}, 1),
+		done:    make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 	go s.run()
 	var once sync.Once
 	return s, func() {
 		once.Do(func() { close(s.done) })
-		<-s.idle
+		<-s.stopped
 	}
 }
 
-// Subscribe calls f every period until the returned function is called. f must
-// not block. Calls that were missed, as after a pause, aren't made up for.
+// Subscribe calls f once per period until the returned function is called. f must
+// not block. Calls that were missed, for example in a pause, aren't made up for.
 func (s *Service) Subscribe(period time.Duration, f func(now time.Time)) func() {
 	sub := &subscription{period: period, next: time.Now().Add(period), f: f}
 	s.mu.Lock()
@@ -56,19 +56,20 @@
 func (s *Service) remove(sub *subscription) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, have := range s.subs {
-		if have == sub {
+	for i, other := range s.subs {
+		if other == sub {
 			s.subs = append(s.subs[:i:i], s.subs[i+1:]...)
 			return
 		}
 	}
 }
 
-const idlePeriod = time.Second
+// maxSleep is how long the service sleeps if no subscriber is due earlier.
+const maxSleep = time.Second
 
 func (s *Service) run() {
-	defer close(s.idle)
-	t := time.NewTimer(idlePeriod)
+	defer close(s.stopped)
+	t := time.NewTimer(maxSleep)
 	defer t.Stop()
 	for {
 		select {
@@ -81,11 +82,11 @@
 	}
 }
 
-// fire calls the subscribers that are due and returns the time to the next one.
+// fire calls the subscribers that are due and returns the time until the next one is due.
 func (s *Service) fire(now time.Time) time.Duration {
 	s.mu.Lock()
 	var due []*subscription
-	next := now.Add(idlePeriod)
+	next := now.Add(maxSleep)
 	for _, sub := range s.subs {
 		if !now.Before(sub.next) {
 			due = append(due, sub)
--- a/internal/process/timer/timer_test.go
+++ b/internal/process/timer/timer_test.go
@@ -27,7 +27,7 @@
 		Expect(fast.Load()).To(BeNumerically("<=", after+1))
 	})
 
-	It("calls nobody after it was stopped", func() {
+	It("calls no subscriber after it was stopped", func() {
 		s, stop := timer.New()
 		var calls atomic.Int32
 		s.Subscribe(time.Millisecond, func(time.Time) { calls.Add(1) })
