--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -22,7 +22,7 @@
 const (
 	cookieService = "service"
 	cookieZone    = bundle.Zone("zone")
-	// cookieProbePeriod is the probe period of settings.DefaultsCookie.
+	// cookieProbePeriod is the probe period of settings.CookieDefaults.
 	cookieProbePeriod = 500 * time.Millisecond
 	// advertisementPeriod is the period at which a zone's reader sends advertisements and loads.
 	advertisementPeriod = 500 * time.Millisecond
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/carrier/carrier.go
@@ -40,7 +40,7 @@
 	cfg      atomic.Pointer[settings.Cookie]
 	platform metadata.Platform
 	inForce  bundle.InForce
-	pauses   *timer.Pauses
+	pauses   *timer.PauseDetector
 	data     *data
 	members  *members
 	probes   *probes
@@ -72,7 +72,7 @@
 func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Carrier, func(), error) {
 	c := &Carrier{
 		platform: p,
-		pauses:   timer.NewPauses(pauseLimit),
+		pauses:   timer.NewPauseDetector(pauseLimit),
 		logs:     newDecisionLog(cfg.LogsPerSecond),
 		started:  time.Now(),
 		state:    storeState{catalog: registry.NewCatalog()},
@@ -181,7 +181,7 @@
 // tick runs every tickPeriod. It records that the process is running, expires held upstreams and
 // evacuations of a restored store, and sends the probes that are due.
 func (c *Carrier) tick(now time.Time) {
-	c.pauses.Seen(now)
+	c.pauses.Observe(now)
 	c.mu.Lock()
 	c.expireHeldUpstreams(now)
 	c.expireEvacuations(now)
