--- a/cmd/fescueshed-cookie/main.go
+++ b/cmd/fescueshed-cookie/main.go
@@ -12,12 +12,12 @@
 	"github.com/alecthomas/kong"
 	"k8s.io/klog/v2"
 
-	"github.com/fescueshed/fescueshed/internal/process/carrier"
+	"github.com/fescueshed/fescueshed/internal/process/cookiedaemon"
 	"github.com/fescueshed/fescueshed/platform"
 )
 
 func main() {
-	c := carrier.Command{Connect: platform.Connect}
+	c := cookiedaemon.Command{Connect: platform.Connect}
 	k := kong.Parse(&c,
 		kong.Name("fescueshed-cookie"),
 		kong.Description("Runs a balancer for flows that carry a cookie, until SIGTERM."),
--- a/internal/process/carrier/advertisement.go
+++ b/internal/process/cookiedaemon/advertisement.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"net/netip"
@@ -48,7 +48,7 @@
 
 // shouldRelay reports whether this daemon holds more than it relayed before. If so, it records the
 // present state as relayed.
-func (c *Carrier) shouldRelay() bool {
+func (c *Daemon) shouldRelay() bool {
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/process/carrier/bundle.go
+++ b/internal/process/cookiedaemon/bundle.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"time"
@@ -13,7 +13,7 @@
 // bundlesPosition returns the position from which to watch the store's bundles, or zero if they
 // must be listed. A daemon that takes over from a failed reader holds the bundle already: on a slow
 // link, listing it takes longer than the take-over may.
-func (c *Carrier) bundlesPosition() objects.Position {
+func (c *Daemon) bundlesPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.canPlaceFlowsLocked() {
@@ -22,7 +22,7 @@
 	return c.state.bundleAsOf
 }
 
-func (c *Carrier) listBundles(s objects.Snapshot[bundle.Accepted], now time.Time) {
+func (c *Daemon) listBundles(s objects.Snapshot[bundle.Accepted], now time.Time) {
 	for i := range s.Objects {
 		if s.Objects[i].Err == nil {
 			c.applyStoredBundle(&s.Objects[i])
@@ -31,7 +31,7 @@
 	c.confirmBundle(now, s.AsOf)
 }
 
-func (c *Carrier) changeBundles(ch objects.Changes[bundle.Accepted], now time.Time) {
+func (c *Daemon) changeBundles(ch objects.Changes[bundle.Accepted], now time.Time) {
 	for i := range ch.List {
 		if !ch.List[i].Deleted && ch.List[i].Object.Err == nil {
 			c.applyStoredBundle(&ch.List[i].Object)
@@ -40,7 +40,7 @@
 	c.confirmBundle(now, ch.AsOf)
 }
 
-func (c *Carrier) applyStoredBundle(o *objects.Object[bundle.Accepted]) {
+func (c *Daemon) applyStoredBundle(o *objects.Object[bundle.Accepted]) {
 	from := contentSource{source: "Store", name: o.Name}
 	c.applyBundle(o.Value.Version, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		return o.Value, updateFrom(now, o.Value), nil
@@ -48,7 +48,7 @@
 }
 
 // applyUpdate puts a bundle in force that another daemon sent as an update from an earlier bundle.
-func (c *Carrier) applyUpdate(u *bundle.Update, from contentSource) {
+func (c *Daemon) applyUpdate(u *bundle.Update, from contentSource) {
 	c.applyBundle(u.To, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		a, err := u.Apply(now)
 		if err != nil || u.From != 0 {
@@ -75,7 +75,7 @@
 
 // applyBundle puts a bundle in force if it is newer than the present one. next builds it from the
 // present one, and returns with it the update that leads there, or nil if there was no bundle.
-func (c *Carrier) applyBundle(
+func (c *Daemon) applyBundle(
 	v bundle.Version, from contentSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
 ) {
 	routes, changed := 0, 0
@@ -115,21 +115,21 @@
 // bundle in force, the whole bundle is requested next: this daemon then holds a different bundle
 // under the version number that the update starts from, as after the store was restored from a
 // copy, and no later update would ever apply.
-func (c *Carrier) refuseBundle(v bundle.Version, from contentSource, err error) {
+func (c *Daemon) refuseBundle(v bundle.Version, from contentSource, err error) {
 	klog.ErrorS(err, "Bundle refused", "Version", v, "Source", from.source, "Name", from.name)
 	if eris.Is(err, bundle.ErrUpdateMismatch) {
 		c.setNeedsWholeBundle(true)
 	}
 }
 
-func (c *Carrier) setNeedsWholeBundle(needed bool) {
+func (c *Daemon) setNeedsWholeBundle(needed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.needsWholeBundle = needed
 }
 
 // bundleInForce returns the bundle in force, or the zero value if there is none.
-func (c *Carrier) bundleInForce() bundle.Accepted {
+func (c *Daemon) bundleInForce() bundle.Accepted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.history.Current()
@@ -137,7 +137,7 @@
 
 // confirmBundle records that this daemon itself has read which bundle is the newest, as of a
 // position.
-func (c *Carrier) confirmBundle(at time.Time, asOf objects.Position) {
+func (c *Daemon) confirmBundle(at time.Time, asOf objects.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if asOf >= c.state.bundleAsOf {
@@ -148,7 +148,7 @@
 
 // confirmBundleAt records the time and position as of which the bundle in force is known to be the
 // newest. c.mu must be held.
-func (c *Carrier) confirmBundleAt(at time.Time, asOf objects.Position) {
+func (c *Daemon) confirmBundleAt(at time.Time, asOf objects.Position) {
 	c.state.confirm(kindBundles, at)
 	c.state.bundleAsOf = max(c.state.bundleAsOf, asOf)
 }
--- a/internal/process/carrier/catalog.go
+++ b/internal/process/cookiedaemon/catalog.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -131,7 +131,7 @@
 
 // applyCatalog applies a catalog that another daemon held as of the time confirmed. It returns
 // resets for the flows that end by it.
-func (c *Carrier) applyCatalog(got *peer.Catalog, confirmed, now time.Time) []cookie.Reset {
+func (c *Daemon) applyCatalog(got *peer.Catalog, confirmed, now time.Time) []cookie.Reset {
 	version := c.inForce.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +177,7 @@
 
 // applyHeld takes over the upstreams and zones that another daemon holds in place of the
 // store's content. It returns resets for the flows that end by it. c.mu must be held.
-func (c *Carrier) applyHeld(h *peer.HeldContent, now time.Time) []cookie.Reset {
+func (c *Daemon) applyHeld(h *peer.HeldContent, now time.Time) []cookie.Reset {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
 		c.enforceEvacuations(before, contentSource{source: "Peer"}, now)
@@ -236,7 +236,7 @@
 // catalogFor returns what this daemon holds and the requester lacks, and the update from the
 // requester's bundle to the bundle in force, or nil if the requester has that already. The caller
 // packs the update after c.mu is released: packing takes too long for packets to wait.
-func (c *Carrier) catalogFor(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
+func (c *Daemon) catalogFor(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/process/carrier/command.go
+++ b/internal/process/cookiedaemon/command.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"bytes"
@@ -70,7 +70,7 @@
 const signalsAfter = 250 * time.Millisecond
 
 // awaitStart waits until the daemon is ready, but at most signalsAfter.
-func (c *Carrier) awaitStart(ctx context.Context) {
+func (c *Daemon) awaitStart(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, signalsAfter)
 	defer cancel()
 	_ = c.awaitReady(ctx)
@@ -78,7 +78,7 @@
 
 // watchSettings rereads the settings file on SIGHUP and every settingsPeriod until ctx ends. A file
 // with findings is refused as a whole.
-func (c *Command) watchSettings(ctx context.Context, src []byte, d *Carrier) {
+func (c *Command) watchSettings(ctx context.Context, src []byte, d *Daemon) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
--- a/internal/process/carrier/contacts.go
+++ b/internal/process/cookiedaemon/contacts.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -31,7 +31,7 @@
 // contacts maintains the object in the store by which daemons find each other when their seeds are
 // out of date: the seeds name three hosts that existed when the settings were written.
 type contacts struct {
-	c      *Carrier
+	c      *Daemon
 	object objects.SingleObject[peer.Contacts]
 	// latest is the object as read last. latestAt is the time at which it was read, epoch the epoch
 	// of the store then.
@@ -40,7 +40,7 @@
 	epoch    objects.Epoch
 }
 
-func (c *Carrier) startContacts(ctx context.Context) (func(), error) {
+func (c *Daemon) startContacts(ctx context.Context) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
 	k := &contacts{c: c, object: c.platform.Contacts}
 	done := make(chan struct{})
--- a/internal/process/carrier/carrier.go
+++ b/internal/process/cookiedaemon/daemon.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -35,8 +35,8 @@
 	pauseLimit = 300 * time.Millisecond
 )
 
-// Carrier is a running balancer.
-type Carrier struct {
+// Daemon is a running balancer.
+type Daemon struct {
 	cfg      atomic.Pointer[settings.Cookie]
 	platform metadata.Platform
 	inForce  bundle.InForce
@@ -69,8 +69,8 @@
 
 // New opens the sockets of a daemon and starts its parts. The returned clean-up function stops them
 // immediately; call Leave before it for a graceful shutdown.
-func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Carrier, func(), error) {
-	c := &Carrier{
+func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Daemon, func(), error) {
+	c := &Daemon{
 		platform: p,
 		pauses:   timer.NewPauses(pauseLimit),
 		logs:     newDecisionLog(cfg.LogsPerSecond),
@@ -97,7 +97,7 @@
 	return c, cleanup, nil
 }
 
-func (c *Carrier) startTimer(context.Context) (func(), error) {
+func (c *Daemon) startTimer(context.Context) (func(), error) {
 	t, stop := timer.New()
 	t.Subscribe(tickPeriod, c.tick)
 	t.Subscribe(memberTickPeriod, c.members.tick)
@@ -120,10 +120,10 @@
 }
 
 // Ready reports whether routers should send packets to this daemon.
-func (c *Carrier) Ready() bool { return c.canPlaceFlows() && !c.leaving.Load() }
+func (c *Daemon) Ready() bool { return c.canPlaceFlows() && !c.leaving.Load() }
 
 // canPlaceFlows reports whether the daemon has the state that it needs to place flows.
-func (c *Carrier) canPlaceFlows() bool {
+func (c *Daemon) canPlaceFlows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.canPlaceFlowsLocked()
@@ -131,22 +131,22 @@
 
 // canPlaceFlowsLocked is canPlaceFlows for callers that hold c.mu. No flow is placed before the
 // evacuated zones are known: the first flows could otherwise enter a zone that is being evacuated.
-func (c *Carrier) canPlaceFlowsLocked() bool {
+func (c *Daemon) canPlaceFlowsLocked() bool {
 	return c.engine.Ready() && !c.state.confirmed[kindEvacuations].IsZero()
 }
 
 // signalIfReady sets the ready event once the daemon can place flows. c.mu must be held.
-func (c *Carrier) signalIfReady() {
+func (c *Daemon) signalIfReady() {
 	if c.canPlaceFlowsLocked() {
 		c.start.ready.set()
 	}
 }
 
 // Version returns the version of the bundle in force, or zero.
-func (c *Carrier) Version() bundle.Version { return c.inForce.Version() }
+func (c *Daemon) Version() bundle.Version { return c.inForce.Version() }
 
 // Upstreams returns the number of registered upstreams in use.
-func (c *Carrier) Upstreams() int {
+func (c *Daemon) Upstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -160,7 +160,7 @@
 
 // AvailableUpstreams returns the number of registered upstreams that may get new flows according to
 // their store entries.
-func (c *Carrier) AvailableUpstreams() int {
+func (c *Daemon) AvailableUpstreams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -173,14 +173,14 @@
 }
 
 // Members returns the number of known daemons, including this one.
-func (c *Carrier) Members() int { return len(c.members.view.Load().Members) }
+func (c *Daemon) Members() int { return len(c.members.view.Load().Members) }
 
 // ReadsStore reports whether the daemon currently reads the store.
-func (c *Carrier) ReadsStore() bool { return c.shouldReadStore(time.Now()) }
+func (c *Daemon) ReadsStore() bool { return c.shouldReadStore(time.Now()) }
 
 // tick runs every tickPeriod. It records that the process is running, expires held upstreams and
 // evacuations of a restored store, and sends the probes that are due.
-func (c *Carrier) tick(now time.Time) {
+func (c *Daemon) tick(now time.Time) {
 	c.pauses.Seen(now)
 	c.mu.Lock()
 	c.expireHeldUpstreams(now)
@@ -191,7 +191,7 @@
 }
 
 // sweep expires flows and sends this daemon's loads and advertisement.
-func (c *Carrier) sweep(now time.Time) {
+func (c *Daemon) sweep(now time.Time) {
 	c.mu.Lock()
 	c.warmupLimiter.Update(c.members.view.Load(), now)
 	c.engine.Expire(now)
@@ -203,7 +203,7 @@
 }
 
 // sendLoadsEagerly sends loads at a shorter period for a while after the start.
-func (c *Carrier) sendLoadsEagerly(now time.Time) {
+func (c *Daemon) sendLoadsEagerly(now time.Time) {
 	if peer.UsesStartupReportPeriod(now.Sub(c.started)) {
 		c.members.sendLoads(now)
 	}
@@ -211,7 +211,7 @@
 
 // Leave announces that the daemon leaves, and goes on forwarding until routers have stopped sending
 // packets to it.
-func (c *Carrier) Leave() {
+func (c *Daemon) Leave() {
 	began := time.Now()
 	c.departure.begin(began, c.cfg.Load().LingerLimit())
 	c.leaving.Store(true)
@@ -225,7 +225,7 @@
 }
 
 // checkReady answers a readiness check, and counts the ones it refuses while leaving.
-func (c *Carrier) checkReady() bool {
+func (c *Daemon) checkReady() bool {
 	if c.Ready() {
 		return true
 	}
@@ -233,7 +233,7 @@
 	return false
 }
 
-func (c *Carrier) flows() int {
+func (c *Daemon) flows() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engine.Flows()
@@ -241,7 +241,7 @@
 
 // Reload puts changed settings in force. It refuses a change of the zone or of an address of an
 // open socket, which needs a restart.
-func (c *Carrier) Reload(cfg *settings.Cookie) {
+func (c *Daemon) Reload(cfg *settings.Cookie) {
 	old := c.cfg.Load()
 	if cfg.DataAddress != old.DataAddress || cfg.ControlAddress != old.ControlAddress || cfg.Zone != old.Zone {
 		klog.InfoS("Settings refused: addresses and zone need a restart", "Data", cfg.DataAddress, "Zone", cfg.Zone)
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/cookiedaemon/daemon_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package cookiedaemon_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/fescueshed/fescueshed/internal/connection/cookie"
-	"github.com/fescueshed/fescueshed/internal/process/carrier"
+	"github.com/fescueshed/fescueshed/internal/process/cookiedaemon"
 	"github.com/fescueshed/fescueshed/internal/process/settings"
 	"github.com/fescueshed/fescueshed/internal/standin/flows"
 	"github.com/fescueshed/fescueshed/internal/standin/metadata"
@@ -29,7 +29,7 @@
 
 // node is a balancer in this process.
 type node struct {
-	*carrier.Carrier
+	*cookiedaemon.Daemon
 	host *world.Host
 	cfg  *settings.Cookie
 }
@@ -61,12 +61,12 @@
 	}
 	store, closeStore := objects.NewClient(cfg.Store)
 	t.Cleanup(closeStore)
-	c, stop, err := carrier.New(context.Background(), cfg, platform.Connect(store))
+	c, stop, err := cookiedaemon.New(context.Background(), cfg, platform.Connect(store))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(stop)
-	return &node{Carrier: c, host: h, cfg: cfg}
+	return &node{Daemon: c, host: h, cfg: cfg}
 }
 
 func newWorld(hosts int) *world.World {
@@ -152,7 +152,7 @@
 		}
 		Expect(cut).To(Equal(2))
 		// The catalogs that daemons fetch once after their start must not help.
-		time.Sleep(carrier.JoinDuration)
+		time.Sleep(cookiedaemon.JoinDuration)
 		Eventually(inForce(nodes, w.Roll()), maxWait).Should(BeTrue())
 	})
 
@@ -260,7 +260,7 @@
 	It("find each other when no seed exists any more", func() {
 		w := newWorld(3)
 		startAll(w)
-		time.Sleep(carrier.JoinDuration) // From then on the store reader maintains the contacts.
+		time.Sleep(cookiedaemon.JoinDuration) // From then on the store reader maintains the contacts.
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		h.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.9.9:9")}
--- a/internal/process/carrier/data.go
+++ b/internal/process/cookiedaemon/data.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 // data forwards callers' packets to upstreams.
 type data struct {
-	c    *Carrier
+	c    *Daemon
 	conn *net.UDPConn
 	wg   sync.WaitGroup
 	// resetBuf is used only by the goroutine that reads packets.
@@ -36,7 +36,7 @@
 	maxFirstPacketWait = 200 * time.Millisecond
 )
 
-func (c *Carrier) startData(ctx context.Context) (func(), error) {
+func (c *Daemon) startData(ctx context.Context) (func(), error) {
 	udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(c.cfg.Load().DataAddress))
 	if err != nil {
 		return nil, eris.Wrapf(err, "data: listen on %s", c.cfg.Load().DataAddress)
@@ -198,11 +198,11 @@
 }
 
 // inputs returns what decisions are based on now. c.mu must be held.
-func (c *Carrier) inputs(now time.Time) inputs {
+func (c *Daemon) inputs(now time.Time) inputs {
 	return inputs{bundle: c.engine.Version(), listAge: now.Sub(c.state.confirmed[kindUpstreams])}
 }
 
-func (c *Carrier) drop(cause cookie.Cause) {
+func (c *Daemon) drop(cause cookie.Cause) {
 	c.mu.Lock()
 	c.engine.Counters.Dropped[cause]++
 	c.mu.Unlock()
--- a/internal/process/carrier/data_test.go
+++ b/internal/process/cookiedaemon/data_test.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 		udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 		Expect(err).NotTo(HaveOccurred())
 		now := time.Now()
-		c := &Carrier{
+		c := &Daemon{
 			engine:   cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoneAware("a", upstream.DefaultChoices)}),
 			start:    newStartup(now, false),
 			pauses:   timer.NewPauses(pauseLimit),
--- a/internal/process/carrier/doc.go
+++ b/internal/process/cookiedaemon/doc.go
@@ -1,10 +1,10 @@
-// Package carrier runs a balancer that forwards flows by cookie: its sockets, how it follows the
+// Package cookiedaemon runs a balancer that forwards flows by cookie: its sockets, how it follows the
 // platform's store, what it sends to and receives from the other daemons of its zone, its probes,
 // logs and metrics. The decisions themselves are made in packages cookie, registry and peer.
 //
 // Files:
 //
-//	carrier.go                   the daemon: its parts, when it is ready, how it leaves (departure.go)
+//	daemon.go                    the daemon: its parts, when it is ready, how it leaves (departure.go)
 //	data.go, log.go              callers' packets, and the log lines that explain decisions on them
 //	start.go                     how a starting daemon obtains the state that it needs to place flows
 //	follower.go                  follows one kind of the store's objects: lists, watches, errors
@@ -19,8 +19,8 @@
 //	contacts.go                  the object in the store by which daemons find each other
 //	http.go, status.go           readiness, metrics, status
 //
-// Lock order: bundle.InForce, then Carrier.mu, which guards the engine, the catalog and the reader
+// Lock order: bundle.InForce, then Daemon.mu, which guards the engine, the catalog and the reader
 // election, then members.mu. Nothing is sent while one of the last two is held, and log lines are
 // written under them only for rare changes: evacuations, restarted upstreams, restores of the
 // store.
-package carrier
+package cookiedaemon
--- a/internal/process/carrier/epoch.go
+++ b/internal/process/cookiedaemon/epoch.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"sync/atomic"
@@ -20,7 +20,7 @@
 
 // observeEpoch records the epoch of an answer of the store or of a message, and logs a later one
 // than was known. c.mu must be held.
-func (c *Carrier) observeEpoch(asOf objects.Position, source string, now time.Time) {
+func (c *Daemon) observeEpoch(asOf objects.Position, source string, now time.Time) {
 	before := c.state.epoch
 	if c.state.observeEpoch(asOf.Epoch(), now) {
 		klog.InfoS("Store restored", "Epoch", asOf.Epoch(), "Before", before, "AsOf", asOf, "Source", source)
@@ -29,7 +29,7 @@
 
 // changeCatalog runs change, which changes the catalog and reports whether it did. If the catalog
 // then holds the list of a restored store, changeCatalog logs the held entries. c.mu must be held.
-func (c *Carrier) changeCatalog(change func() bool) bool {
+func (c *Daemon) changeCatalog(change func() bool) bool {
 	before := c.state.catalog.AsOf
 	changed := change()
 	if now := c.state.catalog.AsOf; before != 0 && now.Epoch() != before.Epoch() {
@@ -42,7 +42,7 @@
 
 // expireHeldUpstreams releases upstreams that the store lacks or has with an older content since
 // its restore, once they have been held for long enough. c.mu must be held.
-func (c *Carrier) expireHeldUpstreams(now time.Time) {
+func (c *Daemon) expireHeldUpstreams(now time.Time) {
 	older, missing := c.state.catalog.HeldCounts()
 	if !c.state.catalog.Expire(now) {
 		return
@@ -55,14 +55,14 @@
 }
 
 // storeEpoch returns the latest known epoch of the store.
-func (c *Carrier) storeEpoch() objects.Epoch {
+func (c *Daemon) storeEpoch() objects.Epoch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.epoch
 }
 
 // positionOf returns the position as of which a kind is known.
-func (c *Carrier) positionOf(k kind) objects.Position {
+func (c *Daemon) positionOf(k kind) objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.position(k)
--- a/internal/process/carrier/evacuation.go
+++ b/internal/process/cookiedaemon/evacuation.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"slices"
@@ -12,7 +12,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/objects"
 )
 
-func (c *Carrier) listEvacuations(s objects.Snapshot[bundle.Zone], now time.Time) {
+func (c *Daemon) listEvacuations(s objects.Snapshot[bundle.Zone], now time.Time) {
 	list := make([]bundle.Zone, 0, len(s.Objects))
 	for i := range s.Objects {
 		list = append(list, evacuatedZone(&s.Objects[i]))
@@ -20,7 +20,7 @@
 	c.applyStoredEvacuations(now, func(*evacuation.Zones) evacuation.Zones { return evacuation.NewZones(list, s.AsOf) })
 }
 
-func (c *Carrier) changeEvacuations(ch objects.Changes[bundle.Zone], now time.Time) {
+func (c *Daemon) changeEvacuations(ch objects.Changes[bundle.Zone], now time.Time) {
 	changes := make([]evacuation.Change, 0, len(ch.List))
 	for i := range ch.List {
 		changes = append(changes, evacuation.Change{Zone: evacuatedZone(&ch.List[i].Object), Lifted: ch.List[i].Deleted})
@@ -35,7 +35,7 @@
 
 // applyStoredEvacuations applies evacuations that this daemon itself has read from the store. next
 // builds the new state from the stored one.
-func (c *Carrier) applyStoredEvacuations(now time.Time, next func(*evacuation.Zones) evacuation.Zones) {
+func (c *Daemon) applyStoredEvacuations(now time.Time, next func(*evacuation.Zones) evacuation.Zones) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	z := next(&c.state.evacuated.Stored)
@@ -48,7 +48,7 @@
 
 // applyEvacuations applies evacuated zones unless those of a later position are held. c.mu must be
 // held.
-func (c *Carrier) applyEvacuations(z evacuation.Zones, from contentSource, now time.Time) {
+func (c *Daemon) applyEvacuations(z evacuation.Zones, from contentSource, now time.Time) {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.Update(z, now) {
 		c.enforceEvacuations(before, from, now)
@@ -57,7 +57,7 @@
 
 // expireEvacuations ends the evacuations that the store lacks since it was restored from a
 // snapshot, once they have been held for long enough. c.mu must be held.
-func (c *Carrier) expireEvacuations(now time.Time) {
+func (c *Daemon) expireEvacuations(now time.Time) {
 	before := c.state.evacuated.Zones()
 	if c.state.evacuated.Expire(now) {
 		c.enforceEvacuations(before, contentSource{source: "StoreRestored"}, now)
@@ -66,7 +66,7 @@
 
 // enforceEvacuations makes the engine use the evacuated zones in force, and logs the differences
 // from before. c.mu must be held.
-func (c *Carrier) enforceEvacuations(before []bundle.Zone, from contentSource, now time.Time) {
+func (c *Daemon) enforceEvacuations(before []bundle.Zone, from contentSource, now time.Time) {
 	zones := c.state.evacuated.Zones()
 	if slices.Equal(zones, before) {
 		return
@@ -84,20 +84,20 @@
 	}
 }
 
-func (c *Carrier) logEvacuation(what string, zone bundle.Zone, from contentSource) {
+func (c *Daemon) logEvacuation(what string, zone bundle.Zone, from contentSource) {
 	klog.InfoS(what, "Zone", zone, "AsOf", c.state.evacuated.Stored.AsOf, "Source", from.source, "Name", from.name,
 		"Age", from.age, "Flows", c.engine.FlowsIn(zone))
 }
 
 // confirmEvacuations records the time as of which the evacuated zones are known. c.mu must be held.
-func (c *Carrier) confirmEvacuations(at time.Time) {
+func (c *Daemon) confirmEvacuations(at time.Time) {
 	c.state.confirm(kindEvacuations, at)
 	c.signalIfReady()
 }
 
 // evacuationsPosition returns the position from which to watch evacuations, or zero if they must be
 // listed.
-func (c *Carrier) evacuationsPosition() objects.Position {
+func (c *Daemon) evacuationsPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.canPlaceFlowsLocked() {
@@ -107,7 +107,7 @@
 }
 
 // Evacuated returns the zones that get no new flows from this daemon, in order.
-func (c *Carrier) Evacuated() []bundle.Zone {
+func (c *Daemon) Evacuated() []bundle.Zone {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.evacuated.Zones()
@@ -115,7 +115,7 @@
 
 // evacuationStatus returns since when zones are evacuated on this daemon and how many of its flows
 // are still open there. c.mu must be held.
-func (c *Carrier) evacuationStatus() []status.EvacuationStatus {
+func (c *Daemon) evacuationStatus() []status.EvacuationStatus {
 	zones := c.state.evacuated.Zones()
 	out := make([]status.EvacuationStatus, 0, len(zones))
 	for _, zone := range zones {
--- a/internal/process/carrier/evacuation_test.go
+++ b/internal/process/cookiedaemon/evacuation_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package cookiedaemon_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/fescueshed/fescueshed/internal/process/carrier"
+	"github.com/fescueshed/fescueshed/internal/process/cookiedaemon"
 	"github.com/fescueshed/fescueshed/internal/standin/metadata"
 	"github.com/fescueshed/fescueshed/internal/standin/world"
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
@@ -140,7 +140,7 @@
 	It("receive more zones than an advertisement holds", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		time.Sleep(carrier.JoinDuration) // From then on one balancer reads for all, and the others receive its advertisements.
+		time.Sleep(cookiedaemon.JoinDuration) // From then on one balancer reads for all, and the others receive its advertisements.
 		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		const many = 20
 		zones := make([]bundle.Zone, 0, many)
--- a/internal/process/carrier/follower.go
+++ b/internal/process/cookiedaemon/follower.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -38,7 +38,7 @@
 // follower follows one kind of the store's objects.
 type follower[T any] struct {
 	objectHandler[T]
-	c    *Carrier
+	c    *Daemon
 	kind kind
 	feed objects.ListWatcher[T]
 	// failingSince is the time since which calls fail, or zero if they don't.
@@ -59,7 +59,7 @@
 	unusableLimiter, outdatedLimiter *logs.Limiter
 }
 
-func newFollower[T any](c *Carrier, k kind, feed objects.ListWatcher[T], in objectHandler[T]) *follower[T] {
+func newFollower[T any](c *Daemon, k kind, feed objects.ListWatcher[T], in objectHandler[T]) *follower[T] {
 	return &follower[T]{
 		objectHandler: in, c: c, kind: k, feed: feed,
 		unusableLimiter: logs.NewLimiter(unusableLines), outdatedLimiter: newOutdatedLimiter(),
--- a/internal/process/carrier/follower_test.go
+++ b/internal/process/cookiedaemon/follower_test.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 	g := NewWithT(t)
 	var listed objects.Position
 	f := &follower[int]{
-		c:    &Carrier{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
+		c:    &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
 		feed: &busyFeed{},
 		objectHandler: objectHandler[int]{
 			multiPage: true,
@@ -69,7 +69,7 @@
 			g := NewWithT(t)
 			feed := &holdingFeed{}
 			f := &follower[int]{
-				c:    &Carrier{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
+				c:    &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
 				feed: feed,
 				objectHandler: objectHandler[int]{
 					list:    func(objects.Snapshot[int], time.Time) {},
--- a/internal/process/carrier/http.go
+++ b/internal/process/cookiedaemon/http.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -20,11 +20,11 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-func (c *Carrier) startReadiness(ctx context.Context) (func(), error) {
+func (c *Daemon) startReadiness(ctx context.Context) (func(), error) {
 	return serveHTTP(ctx, c.cfg.Load().ReadinessAddress, c.platform.Readiness(c.checkReady))
 }
 
-func (c *Carrier) startMetrics(ctx context.Context) (func(), error) {
+func (c *Daemon) startMetrics(ctx context.Context) (func(), error) {
 	// The set is created by the first request for it: its fifty names take a small host some
 	// milliseconds, while callers wait for it to start.
 	set := sync.OnceValue(c.metricSet)
@@ -51,7 +51,7 @@
 }
 
 // metricSet returns the metrics, named by Prometheus conventions.
-func (c *Carrier) metricSet() *metrics.Set {
+func (c *Daemon) metricSet() *metrics.Set {
 	s := metrics.NewSet()
 	count := func(name string, load func() uint64) {
 		s.NewGauge(name, func() float64 { return float64(load()) })
@@ -116,7 +116,7 @@
 
 // writeRequests writes the evacuated zones, and the numbers of requests by service and outcome.
 // Their labels are known only when they occur.
-func (c *Carrier) writeRequests(w io.Writer) {
+func (c *Daemon) writeRequests(w io.Writer) {
 	s := c.Status()
 	status.WriteEvacuated(w, s.Evacuated)
 	for _, r := range s.Requests {
@@ -135,7 +135,7 @@
 
 // writeHistograms writes the histograms in the library's own format. They are fields of the things
 // that they measure, not members of a metrics.Set.
-func (c *Carrier) writeHistograms(w io.Writer) {
+func (c *Daemon) writeHistograms(w io.Writer) {
 	for name, h := range map[string]histogram{
 		"fescueshed_answer_seconds":     &c.answerSeconds,
 		"fescueshed_probe_seconds":      &c.probeSeconds,
@@ -150,7 +150,7 @@
 	}
 }
 
-func (c *Carrier) countCause(
+func (c *Daemon) countCause(
 	count func(string, func() uint64), action string, cause cookie.Cause, of func(*cookie.Counters) uint64,
 ) {
 	name := fmt.Sprintf("fescueshed_packets_%s_total{cause=%q}", action, cause)
--- a/internal/process/carrier/keys_test.go
+++ b/internal/process/cookiedaemon/keys_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package cookiedaemon_test
 
 import (
 	"net"
--- a/internal/process/carrier/large_test.go
+++ b/internal/process/cookiedaemon/large_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package cookiedaemon_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/fescueshed/fescueshed/internal/process/carrier"
+	"github.com/fescueshed/fescueshed/internal/process/cookiedaemon"
 	"github.com/fescueshed/fescueshed/internal/standin/metadata"
 	"github.com/fescueshed/fescueshed/internal/standin/world"
 )
@@ -47,7 +47,7 @@
 		g.Eventually(n.Ready, maxWait).Should(BeTrue())
 		g.Eventually(n.Members, maxWait).Should(Equal(2))
 	}
-	time.Sleep(carrier.JoinDuration)
+	time.Sleep(cookiedaemon.JoinDuration)
 	g.Eventually(small.ReadsStore, maxWait).Should(BeFalse())
 	return large, small
 }
@@ -211,7 +211,7 @@
 	g.Eventually(large.Version, maxWait).Should(Equal(v))
 	g.Eventually(small.Version, maxWait).Should(Equal(v))
 
-	time.Sleep(carrier.JoinDuration)
+	time.Sleep(cookiedaemon.JoinDuration)
 	before := small.metric(t, "fescueshed_catalogs_bytes_total")
 	v = w.Roll()
 	g.Eventually(small.Version, maxWait).Should(Equal(v))
--- a/internal/process/carrier/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"slices"
@@ -117,7 +117,7 @@
 	send(m, protocolReport, m.reports, own, v.OtherZoneReaders())
 }
 
-func (c *Carrier) ownZone() []peer.ZoneLoad {
+func (c *Daemon) ownZone() []peer.ZoneLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.engine.OwnZoneLoads()
@@ -151,14 +151,14 @@
 }
 
 // ownReport returns what this daemon counts at upstreams.
-func (c *Carrier) ownReport(self peer.ID) *peer.Report {
+func (c *Daemon) ownReport(self peer.ID) *peer.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engine.Report(self)
 }
 
 // applyLoads applies the sum of the zone's loads.
-func (c *Carrier) applyLoads(r *peer.Report, now time.Time) {
+func (c *Daemon) applyLoads(r *peer.Report, now time.Time) {
 	c.mu.Lock()
 	ejected := c.engine.ApplyZoneReport(r, now)
 	c.mu.Unlock()
@@ -177,7 +177,7 @@
 }
 
 // probeSuspects probes upstreams that another daemon found dead.
-func (c *Carrier) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
+func (c *Daemon) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
 	c.mu.Lock()
 	for _, id := range ids {
 		c.engine.ReportedDead(id, now)
--- a/internal/process/carrier/log.go
+++ b/internal/process/cookiedaemon/log.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"sync"
--- a/internal/process/carrier/members.go
+++ b/internal/process/cookiedaemon/members.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 
 // members communicates with the other daemons.
 type members struct {
-	c              *Carrier
+	c              *Daemon
 	ctx            context.Context
 	ports          *udpport.Ports
 	swim           *peer.SequencedCodec[peer.Message, *peer.Message]
@@ -82,7 +82,7 @@
 // milliCores is the unit of peer.Member.Size.
 const milliCores = 1000
 
-func (c *Carrier) startMembers(ctx context.Context) (func(), error) {
+func (c *Daemon) startMembers(ctx context.Context) (func(), error) {
 	cfg := c.cfg.Load()
 	m := &members{
 		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedSequences(),
--- a/internal/process/carrier/probe.go
+++ b/internal/process/cookiedaemon/probe.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 // probes sends health probes to suspected upstreams.
 type probes struct {
-	c    *Carrier
+	c    *Daemon
 	ctx  context.Context
 	wg   sync.WaitGroup
 	sent atomic.Uint64
@@ -29,7 +29,7 @@
 // upstream may take long; that it accepted shows already that it is alive.
 const answerTimeout = 500 * time.Millisecond
 
-func (c *Carrier) startProbes(ctx context.Context) (func(), error) {
+func (c *Daemon) startProbes(ctx context.Context) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
 	c.probes = &probes{c: c, ctx: ctx}
 	return func() {
--- a/internal/process/carrier/start.go
+++ b/internal/process/cookiedaemon/start.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -171,7 +171,7 @@
 // listStillNeeded is called before a list of upstreams is read from the store, once its size in
 // bytes is known. If the list is large, it gives a larger member time to send its catalog. It
 // reports whether the list still has to be read.
-func (c *Carrier) listStillNeeded(ctx context.Context, size int64) bool {
+func (c *Daemon) listStillNeeded(ctx context.Context, size int64) bool {
 	if size < largeListBytes {
 		return true
 	}
@@ -187,7 +187,7 @@
 
 // awaitOtherKind waits until this daemon can place flows, but at most otherKindTimeout: the store
 // of a system that starts for the first time has no bundle yet.
-func (c *Carrier) awaitOtherKind(ctx context.Context) {
+func (c *Daemon) awaitOtherKind(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-c.start.ready.done:
@@ -198,7 +198,7 @@
 // awaitReadCheck waits until the next check whether this daemon should read the store. It waits
 // readCheckPeriod if the daemon is ready or callers are waiting. Otherwise it waits startPoll, or
 // until a caller's packet arrives for which the daemon may have to read the store.
-func (c *Carrier) awaitReadCheck(ctx context.Context) {
+func (c *Daemon) awaitReadCheck(ctx context.Context) {
 	if c.start.ready.isSet() || c.start.callersWaiting.isSet() {
 		sleep(ctx, readCheckPeriod)
 		return
@@ -211,7 +211,7 @@
 }
 
 // awaitReady waits until the daemon can place flows. It returns false if ctx ends before.
-func (c *Carrier) awaitReady(ctx context.Context) bool {
+func (c *Daemon) awaitReady(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/process/carrier/status.go
+++ b/internal/process/cookiedaemon/status.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 )
 
 // Status returns the daemon's present state.
-func (c *Carrier) Status() status.Status {
+func (c *Daemon) Status() status.Status {
 	cfg := c.cfg.Load()
 	out := status.Status{Name: cfg.Name, Zone: cfg.Zone, Version: c.inForce.Version()}
 	for _, m := range c.members.view.Load().Members {
@@ -35,7 +35,7 @@
 }
 
 // storeStatus returns as of when the store's content is known. c.mu must be held.
-func (c *Carrier) storeStatus(now time.Time) *status.StoreStatus {
+func (c *Daemon) storeStatus(now time.Time) *status.StoreStatus {
 	out := &status.StoreStatus{Epoch: c.state.epoch, EpochSince: c.state.epochSince}
 	out.HeldOverOlder, out.HeldThoughMissing = c.state.catalog.HeldCounts()
 	for k := range numKinds {
--- a/internal/process/carrier/store.go
+++ b/internal/process/cookiedaemon/store.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-func (c *Carrier) startStore(ctx context.Context) (func(), error) {
+func (c *Daemon) startStore(ctx context.Context) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for _, run := range []func(context.Context){
@@ -38,7 +38,7 @@
 
 // shouldReadStore reports whether this daemon should read the store now. Until it can place flows,
 // peer.Startup decides, afterwards peer.ReaderElection.
-func (c *Carrier) shouldReadStore(now time.Time) bool {
+func (c *Daemon) shouldReadStore(now time.Time) bool {
 	v := c.members.view.Load()
 	rank := v.ReaderRank()
 	if !c.start.ready.isSet() {
@@ -56,14 +56,14 @@
 // store. One that can't place flows yet doesn't, and must not consult c.election: having received
 // nothing, it would become a store reader and stay one for a second after others have sent it
 // everything, on every host of a fleet that starts together. c.mu must be held.
-func (c *Carrier) followsStore(rank int, now time.Time) bool {
+func (c *Daemon) followsStore(rank int, now time.Time) bool {
 	if !c.canPlaceFlowsLocked() {
 		return false
 	}
 	return c.election.ShouldRead(c.start.ReaderRank(rank, now), now)
 }
 
-func (c *Carrier) listUpstreams(s objects.Snapshot[registry.Registration], now time.Time) {
+func (c *Daemon) listUpstreams(s objects.Snapshot[registry.Registration], now time.Time) {
 	list := make([]registry.Registration, 0, len(s.Objects))
 	for i := range s.Objects {
 		if r := registrationOf(&s.Objects[i]); r.ID != 0 {
@@ -75,11 +75,11 @@
 
 // noteOwnRead records that this daemon itself has read the store. It needn't read again unless it
 // receives nothing newer from others in time. c.mu must be held.
-func (c *Carrier) noteOwnRead() { c.election.Received(c.state.confirmedAll(), false) }
+func (c *Daemon) noteOwnRead() { c.election.Received(c.state.confirmedAll(), false) }
 
 // noteStoreFailure records a failed call of the store. The first time, it announces the failure
 // immediately: the others receive no advertisements meanwhile, and would read the store themselves.
-func (c *Carrier) noteStoreFailure(now time.Time) {
+func (c *Daemon) noteStoreFailure(now time.Time) {
 	c.mu.Lock()
 	first := c.state.failedAt.IsZero()
 	c.state.failedAt = now
@@ -91,7 +91,7 @@
 
 // noteStoreLost records that a store reader gets no answer from the store. It reports whether that
 // is new.
-func (c *Carrier) noteStoreLost(now time.Time) bool {
+func (c *Daemon) noteStoreLost(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reported := c.election.StoreReportedLost(now)
@@ -102,7 +102,7 @@
 // storeLost reports whether this daemon's own calls of the store fail, and whether it has no recent
 // content of the store from any source. A call that hangs is detected only after a second and a
 // half, when the whole zone would have turned to the store.
-func (c *Carrier) storeLost(now time.Time) (own, any bool) {
+func (c *Daemon) storeLost(now time.Time) (own, any bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.canPlaceFlowsLocked() {
@@ -118,7 +118,7 @@
 
 // upstreamsPosition returns the position as of which the list of upstreams is known as a whole, or
 // zero if it isn't.
-func (c *Carrier) upstreamsPosition() objects.Position {
+func (c *Daemon) upstreamsPosition() objects.Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.canPlaceFlowsLocked() || c.state.needsWholeList {
@@ -129,7 +129,7 @@
 
 // updateEngine passes the catalog's changes to the engine. It returns resets for the flows that end
 // by them, to be sent after c.mu is released. c.mu must be held.
-func (c *Carrier) updateEngine(now time.Time) []cookie.Reset {
+func (c *Daemon) updateEngine(now time.Time) []cookie.Reset {
 	changes := c.state.catalog.TakeChanges()
 	before := c.engine.Counters.Restarts
 	resets := c.engine.Update(changes, now)
@@ -154,7 +154,7 @@
 	return registry.Registration{ID: o.Value.ID, Created: o.Created, Revision: o.Revision, Unusable: true}
 }
 
-func (c *Carrier) changeUpstreams(ch objects.Changes[registry.Registration], now time.Time) {
+func (c *Daemon) changeUpstreams(ch objects.Changes[registry.Registration], now time.Time) {
 	changes := make([]registry.Change, 0, len(ch.List))
 	for i := range ch.List {
 		if r := registrationOf(&ch.List[i].Object); r.ID != 0 {
@@ -167,7 +167,7 @@
 // applyStoredUpstreams applies what this daemon itself has read of the list of upstreams. apply
 // changes the catalog and reports whether it did. What the catalog refuses, since an advertisement
 // of a later position arrived first, doesn't count as confirmed.
-func (c *Carrier) applyStoredUpstreams(asOf objects.Position, now time.Time, apply func() bool) {
+func (c *Daemon) applyStoredUpstreams(asOf objects.Position, now time.Time, apply func() bool) {
 	c.mu.Lock()
 	var resets []cookie.Reset
 	if c.changeCatalog(apply) {
@@ -182,7 +182,7 @@
 }
 
 // confirmList records the time as of which the list of upstreams is known. c.mu must be held.
-func (c *Carrier) confirmList(at time.Time) {
+func (c *Daemon) confirmList(at time.Time) {
 	c.state.confirm(kindUpstreams, at)
 	c.engine.ConfirmRegistrations(at)
 	c.signalIfReady()
--- a/internal/process/carrier/store_test.go
+++ b/internal/process/cookiedaemon/store_test.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"time"
@@ -18,7 +18,7 @@
 var _ = Describe("A daemon that can't place flows yet", func() {
 	It("doesn't follow the store, nor right after it has received everything", func() {
 		now := time.Unix(1_000_000, 0)
-		c := &Carrier{
+		c := &Daemon{
 			engine: cookie.NewEngine(cookie.Options{Zone: "a", Policy: upstream.NewZoneAware("a", upstream.DefaultChoices)}),
 			start:  newStartup(now, true),
 		}
--- a/internal/process/carrier/storestate.go
+++ b/internal/process/cookiedaemon/storestate.go
@@ -1,4 +1,4 @@
-package carrier
+package cookiedaemon
 
 import (
 	"time"
@@ -25,7 +25,7 @@
 func (k kind) String() string { return kindNames[k] }
 
 // storeState is what this daemon holds of the store's content, and as of when, from its own calls
-// or from other daemons. It isn't safe for concurrent use; Carrier.mu guards it.
+// or from other daemons. It isn't safe for concurrent use; Daemon.mu guards it.
 type storeState struct {
 	// history holds the bundle in force and the updates that led to it. bundleAsOf is the position
 	// up to which the store is known to have no newer bundle.
--- a/internal/process/carrier/suite_test.go
+++ b/internal/process/cookiedaemon/suite_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package cookiedaemon_test
 
 import (
 	"testing"
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestCarrier(t *testing.T) {
+func TestDaemon(t *testing.T) {
 	RegisterFailHandler(Fail)
 	cfg, reporter := GinkgoConfiguration()
 	cfg.RandomSeed = 1
-	RunSpecs(t, "carrier", cfg, reporter)
+	RunSpecs(t, "cookiedaemon", cfg, reporter)
 }
--- a/internal/standin/emulator/fleet.go
+++ b/internal/standin/emulator/fleet.go
@@ -227,7 +227,7 @@
 	}
 }
 
-// reads reports whether the host reads the store now, as package carrier asks.
+// reads reports whether the host reads the store now, as package cookiedaemon asks.
 func (h *fleetHost) reads() bool {
 	v := h.look()
 	if !h.ready {
--- a/internal/standin/emulator/host.go
+++ b/internal/standin/emulator/host.go
@@ -39,7 +39,7 @@
 	do func()
 }
 
-// Periods and limits of a daemon, as in package carrier.
+// Periods and limits of a daemon, as in package cookiedaemon.
 const (
 	loadsPeriod = 500 * time.Millisecond
 	// joinWait is how long members take to know each other after a start.
