--- a/cmd/soak/fault.go
+++ b/cmd/soak/fault.go
@@ -157,8 +157,8 @@
 func (r *run) routerCut() string {
 	h, d := r.w.Hosts[r.host()], r.duration()
 	at := r.w.DataAddress(h)
-	r.w.Router.Cut(at, true)
-	time.AfterFunc(d, func() { r.w.Router.Cut(at, false) })
+	r.w.Router.SetUnreachable(at, true)
+	time.AfterFunc(d, func() { r.w.Router.SetUnreachable(at, false) })
 	return fmt.Sprintf("packets to %s are lost for %v", h.Name, d)
 }
 
--- a/cmd/soak/report.go
+++ b/cmd/soak/report.go
@@ -16,7 +16,7 @@
 var bars = []rune("▁▂▃▄▅▆▇█")
 
 // plot draws the share of requests that were answered in each second of a run.
-func plot(tallies []flows.Tally, began time.Time) string {
+func plot(tallies []flows.CallerStats, began time.Time) string {
 	var asked, answered []int
 	for i := range tallies {
 		for _, o := range tallies[i].Outcomes {
--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -103,7 +103,7 @@
 		t := &tallies[i]
 		o.requests += t.Requests
 		o.answered += t.Answered
-		o.broken = append(o.broken, t.Broken...)
+		o.broken = append(o.broken, t.Violations...)
 		last = append(last, healed(t)...)
 	}
 	if s := share(last); s < leastServed {
@@ -115,7 +115,7 @@
 
 // healed returns the outcomes of the time after all faults had ended. Requests of
 // the very end may not have had their time.
-func healed(t *flows.Tally) []flows.Outcome {
+func healed(t *flows.CallerStats) []flows.Outcome {
 	var out []flows.Outcome
 	since := time.Now().Add(-checkFor)
 	for _, o := range t.Outcomes {
--- a/cmd/try/cookie.go
+++ b/cmd/try/cookie.go
@@ -61,14 +61,14 @@
 }
 
 // judgeCookie prints what callers saw, and returns an error if a promise was broken.
-func (c *runCommand) judgeCookie(w *world.World, tallies []flows.Tally) error {
+func (c *runCommand) judgeCookie(w *world.World, tallies []flows.CallerStats) error {
 	broken := w.Finish()
 	requests, answered, opened := 0, 0, 0
 	for i := range tallies {
 		requests += tallies[i].Requests
 		answered += tallies[i].Answered
 		opened += tallies[i].Opened
-		broken = append(broken, tallies[i].Broken...)
+		broken = append(broken, tallies[i].Violations...)
 	}
 	fmt.Printf("%d balancers: %d of %d requests answered over %d flows, %d broken promises, %d calls of the store\n",
 		c.Balancers, answered, requests, opened, len(broken), w.Store.Calls())
--- a/cmd/try/run.go
+++ b/cmd/try/run.go
@@ -87,7 +87,7 @@
 		}
 		fmt.Printf("%s\n", b)
 	}
-	if !r.Kept() {
+	if !r.NoViolations() {
 		return eris.New("a promise was broken")
 	}
 	return nil
--- a/internal/connection/peer/membership_test.go
+++ b/internal/connection/peer/membership_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("Membership", func() {
 	It("discovers all members from a list of a few", func() {
 		w := links.New(9, 1)
-		Expect(w.Until(5*time.Second, w.Agreed)).To(BeNumerically("<", 5*time.Second))
+		Expect(w.RunUntil(5*time.Second, w.Converged)).To(BeNumerically("<", 5*time.Second))
 	})
 
 	// A balancer dies without notice, and the others continue to send to it. A caller would wait
@@ -21,10 +21,10 @@
 	It("detects a dead member within two seconds at nine members", func() {
 		for seed := range uint64(20) {
 			w := links.New(9, seed)
-			w.Until(10*time.Second, w.Agreed)
+			w.RunUntil(10*time.Second, w.Converged)
 			w.Run(time.Second)
-			w.Members[4].Up = false
-			Expect(w.Until(5*time.Second, w.Agreed)).To(BeNumerically("<", 2*time.Second), "seed %d", seed)
+			w.Members[4].Running = false
+			Expect(w.RunUntil(5*time.Second, w.Converged)).To(BeNumerically("<", 2*time.Second), "seed %d", seed)
 		}
 	})
 
@@ -32,9 +32,9 @@
 	// declared dead, sessions would change their owner for no reason.
 	It("declares no member dead in an hour of packet loss and short pauses", func() {
 		w := links.New(9, 3)
-		w.Until(10*time.Second, w.Agreed)
+		w.RunUntil(10*time.Second, w.Converged)
 		w.Run(2 * time.Second)
-		w.Loss = 0.01
+		w.LossRate = 0.01
 		for range 3600 {
 			w.Members[w.Rng.IntN(9)].PausedUntil = w.Now.Add(100 * time.Millisecond)
 			w.Run(time.Second)
@@ -49,7 +49,7 @@
 	// are lost, or a flow is placed twice.
 	It("distinguishes a restarted host from its earlier run", func() {
 		w := links.New(9, 4)
-		w.Until(10*time.Second, w.Agreed)
+		w.RunUntil(10*time.Second, w.Converged)
 		w.Boot(w.Members[2])
 		w.Run(3 * time.Second)
 		for i, m := range w.Members {
@@ -66,11 +66,11 @@
 	// zone.
 	It("doesn't believe a host to be leaving after it restarted with a clock that was set back", func() {
 		w := links.New(9, 8)
-		w.Until(10*time.Second, w.Agreed)
+		w.RunUntil(10*time.Second, w.Converged)
 		m := w.Members[3]
 		w.Send(m, m.AnnounceLeaving(w.Now))
 		w.Run(5 * time.Second) // Until no member gossips it any more.
-		m.Clock = -time.Hour
+		m.ClockError = -time.Hour
 		w.Boot(m)
 		w.Run(5 * time.Second)
 		for i, o := range w.Members {
@@ -81,15 +81,15 @@
 
 	It("continues in each zone of a partition, and is complete again after it", func() {
 		w := links.New(9, 5)
-		w.Until(10*time.Second, w.Agreed)
-		w.Cut = func(a, b *links.Member) bool { return a.Host.Zone != b.Host.Zone }
+		w.RunUntil(10*time.Second, w.Converged)
+		w.Unreachable = func(a, b *links.Member) bool { return a.Host.Zone != b.Host.Zone }
 		w.Run(10 * time.Second)
 		for _, m := range w.Members {
 			Expect(m.View().Members).To(HaveLen(3))
 			Expect(m.View().UnreachableZones).To(HaveLen(2))
 		}
-		w.Cut = nil
-		Expect(w.Until(20*time.Second, w.Agreed)).To(BeNumerically("<", 20*time.Second))
+		w.Unreachable = nil
+		Expect(w.RunUntil(20*time.Second, w.Converged)).To(BeNumerically("<", 20*time.Second))
 		w.Run(time.Second)
 		for _, m := range w.Members {
 			Expect(m.View().Lost).To(BeEmpty(), "nobody restarted, so nothing was lost")
@@ -99,7 +99,7 @@
 
 	It("shows a leaving member as leaving everywhere, and then as left without loss", func() {
 		w := links.New(9, 6)
-		w.Until(10*time.Second, w.Agreed)
+		w.RunUntil(10*time.Second, w.Converged)
 		m := w.Members[3]
 		w.Send(m, m.AnnounceLeaving(w.Now))
 		w.Run(time.Second)
@@ -108,7 +108,7 @@
 		}
 		w.Send(m, m.AnnounceLeft(w.Now))
 		w.Run(100 * time.Millisecond)
-		m.Up = false
+		m.Running = false
 		w.Run(5 * time.Second)
 		for _, o := range w.Members {
 			if o != m {
@@ -121,15 +121,15 @@
 	It("costs each member less than 3 KB/s at any size", func() {
 		for _, n := range []int{9, 32, 100} {
 			w := links.New(n, 7)
-			w.Until(30*time.Second, w.Agreed)
+			w.RunUntil(30*time.Second, w.Converged)
 			w.Run(5 * time.Second)
 			for _, m := range w.Members {
-				m.Bytes = 0
+				m.SentBytes = 0
 			}
-			w.Measured = true
+			w.CountBytes = true
 			w.Run(20 * time.Second)
 			for _, m := range w.Members {
-				Expect(m.Bytes/20).To(BeNumerically("<", 3000), "%d members", n)
+				Expect(m.SentBytes/20).To(BeNumerically("<", 3000), "%d members", n)
 			}
 		}
 	})
--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -161,7 +161,7 @@
 }
 
 func cookieMember(i int) peer.Member {
-	at := links.ControlAt(i)
+	at := links.ControlAddress(i)
 	name := fmt.Sprintf("edge-%d", i)
 	return peer.Member{
 		ID: peer.IDOf(name), Name: name, Zone: bundle.Zone(fmt.Sprintf("zone-%d", i%fleetZones)),
@@ -210,14 +210,14 @@
 func cookieGossip(sizes []int) Slope {
 	s := Slope{Name: "gossip", SizeUnit: "members", CostUnit: "B/s sent per daemon"}
 	for _, n := range sizes {
-		w := links.NewWith(n, 1, peer.Config{ProbePeriod: cookieProbePeriod, Updates: peer.MaxUpdates})
-		w.Until(warmUp, w.Agreed)
+		w := links.NewWithConfig(n, 1, peer.Config{ProbePeriod: cookieProbePeriod, Updates: peer.MaxUpdates})
+		w.RunUntil(warmUp, w.Converged)
 		w.Run(2 * warmUp) // Until the news of their start have been passed on.
-		w.Measured = true
+		w.CountBytes = true
 		w.Run(controlTime)
 		sum := 0
 		for _, m := range w.Members {
-			sum += m.Bytes
+			sum += m.SentBytes
 		}
 		s.Points = append(s.Points, Point{float64(n), float64(sum) / float64(n) / controlTime.Seconds()})
 	}
--- a/internal/process/capacity/measure.go
+++ b/internal/process/capacity/measure.go
@@ -30,18 +30,18 @@
 	cpu = Slope{Name: "control-cpu", SizeUnit: "members of a cell", CostUnit: "µs/s per daemon"}
 	for _, n := range sizes {
 		w := links.New(n, 1)
-		w.Until(warmUp, w.Agreed)
+		w.RunUntil(warmUp, w.Converged)
 		w.Run(warmUp / 3)
 		for _, m := range w.Members {
 			m.SetFlows(flowCounts())
 		}
-		w.Measured = true
+		w.CountBytes = true
 		began := time.Now()
 		w.Run(controlTime)
 		took := time.Since(began)
 		sum := 0
 		for _, m := range w.Members {
-			sum += m.Bytes
+			sum += m.SentBytes
 		}
 		perMember := float64(n) * controlTime.Seconds()
 		bytes.Points = append(bytes.Points, Point{float64(n), float64(sum) / perMember})
@@ -80,7 +80,7 @@
 	for i := range members {
 		members[i] = peer.Member{
 			ID: peer.IDOf(fmt.Sprint("host-", i)), Zone: bundle.Zone(fmt.Sprint(i % upstreamZone)),
-			Data: netip.AddrPortFrom(links.ControlAt(i).Addr(), 6081),
+			Data: netip.AddrPortFrom(links.ControlAddress(i).Addr(), 6081),
 		}
 	}
 	return peer.NewView(members[0].ID, members, peer.Changes{})
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/carrier/carrier_test.go
@@ -114,7 +114,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		answered := 0
 		for _, t := range tallies {
-			Expect(t.Broken).To(BeEmpty())
+			Expect(t.Violations).To(BeEmpty())
 			answered += t.Answered
 		}
 		Expect(answered).To(BeNumerically(">", 0))
--- a/internal/process/carrier/evacuation_test.go
+++ b/internal/process/carrier/evacuation_test.go
@@ -45,7 +45,7 @@
 		tallies, err := w.Work(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		for _, t := range tallies {
-			Expect(t.Broken).To(BeEmpty())
+			Expect(t.Violations).To(BeEmpty())
 			Expect(t.Answered).To(BeNumerically(">", 0))
 		}
 		for _, n := range nodes {
--- a/internal/process/experiment/experiment.go
+++ b/internal/process/experiment/experiment.go
@@ -111,7 +111,7 @@
 
 func (r *runner) play(j job) {
 	w := &r.rows[j.row]
-	result, err := emulator.Play(w.pattern, emulator.Options{Seed: r.opts.FirstSeed + uint64(j.seed), Policy: w.policy})
+	result, err := emulator.Run(w.pattern, emulator.Options{Seed: r.opts.FirstSeed + uint64(j.seed), Policy: w.policy})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w.results[j.seed] = result
--- a/internal/process/experiment/report.go
+++ b/internal/process/experiment/report.go
@@ -64,7 +64,7 @@
 	out := Row{
 		Pattern: w.pattern.Name, Policy: w.policy.Name,
 		Worth:           spreadOf(w.results, func(r *emulator.Result) float64 { return r.All.Worth() }),
-		Windows:         spreadOf(w.results, (*emulator.Result).Worst),
+		Windows:         spreadOf(w.results, (*emulator.Result).WorstWindows),
 		BusiestOverMean: spreadOf(w.results, func(r *emulator.Result) float64 { return r.BusiestOverMean }),
 		Asked:           mean(func(r *emulator.Result) int { return r.All.Asked }),
 		InTime:          mean(func(r *emulator.Result) int { return r.All.InTime }),
--- a/internal/standin/emulator/emulator_test.go
+++ b/internal/standin/emulator/emulator_test.go
@@ -53,12 +53,12 @@
 	t.Helper()
 	var out total
 	for seed := range seeds {
-		r, err := emulator.Play(p, emulator.Options{Seed: uint64(seed + 1), Policy: policy(t, by)})
+		r, err := emulator.Run(p, emulator.Options{Seed: uint64(seed + 1), Policy: policy(t, by)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		out.worth += r.All.Worth() / float64(seeds)
-		out.worst += r.Worst() / float64(seeds)
+		out.worst += r.WorstWindows() / float64(seeds)
 		out.shed += r.Shed
 		out.refused += r.All.Refused
 	}
@@ -69,12 +69,12 @@
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "mixed-day")
-	first, err := emulator.Play(p, emulator.Options{Seed: 5})
+	first, err := emulator.Run(p, emulator.Options{Seed: 5})
 	g.Expect(err).NotTo(HaveOccurred())
-	again, err := emulator.Play(p, emulator.Options{Seed: 5})
+	again, err := emulator.Run(p, emulator.Options{Seed: 5})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(Equal(first))
-	other, err := emulator.Play(p, emulator.Options{Seed: 6})
+	other, err := emulator.Run(p, emulator.Options{Seed: 6})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(other.All).NotTo(Equal(first.All))
 }
@@ -135,7 +135,7 @@
 	p.Length = bundle.Duration(3 * time.Second)
 	p.Events = nil
 	play := func(name string) *emulator.Result {
-		r, err := emulator.Play(p, emulator.Options{Seed: 1, Policy: policy(t, name)})
+		r, err := emulator.Run(p, emulator.Options{Seed: 1, Policy: policy(t, name)})
 		g.Expect(err).NotTo(HaveOccurred())
 		return r
 	}
@@ -219,7 +219,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		p.Length = min(p.Length, bundle.Duration(3*time.Second))
 		p.Events = nil
-		r, err := emulator.Play(p, emulator.Options{Seed: 1})
+		r, err := emulator.Run(p, emulator.Options{Seed: 1})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.All.Worth()).To(BeNumerically(">", 0.99), f.Name())
 	}
@@ -232,7 +232,7 @@
 	}
 	packets := 0
 	for b.Loop() {
-		r, err := emulator.Play(p, emulator.Options{Seed: 1})
+		r, err := emulator.Run(p, emulator.Options{Seed: 1})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/standin/emulator/fleet.go
+++ b/internal/standin/emulator/fleet.go
@@ -18,19 +18,19 @@
 	Zones, Large, Small int
 	// Upstreams is how many the list has.
 	Upstreams int
-	// First says that the system starts for the first time: no callers wait. Otherwise a caller's
+	// FirstStart says that the system starts for the first time: no callers wait. Otherwise a caller's
 	// packet comes to each host after CallerAfter on average.
-	First       bool
-	CallerAfter time.Duration
-	// Dark hosts don't start; the seeds are the first Seeds of them and then others.
-	DarkSeeds bool
+	FirstStart       bool
+	CallerDelay time.Duration
+	// SeedsDown:  don't start; the seeds are the first Seeds of them and then others.
+	SeedsDown bool
 	// StoreFrom and StoreUntil are when the store refuses all calls.
 	StoreFrom, StoreUntil time.Duration
 	// StoreRestored says that it is restored from a snapshot then: who watches must list, and who hears of it must be told
 	// the whole list.
 	StoreRestored bool
-	// RefusedSlots makes every member refuse to tell.
-	RefuseToTell bool
+	// RefuseCatalogRequests makes every member refuse requests for its catalog.
+	RefuseCatalogRequests bool
 	// Length is how long the play takes.
 	Length time.Duration
 }
@@ -38,15 +38,15 @@
 // FleetResult is what a start cost.
 type FleetResult struct {
 	Calls, Refused int
-	// Ready are the times from each host's start until it could place flows, in rising order.
+	// ReadyTimes are the times from each host's start until it could place flows, in rising order.
 	// Hosts that never could aren't among them.
-	Ready []time.Duration
-	// Relisted is how many hosts listed again after the store was restored from a snapshot, Caught the times from then until
+	ReadyTimes []time.Duration
+	// Relisted is how many hosts listed again after the store was restored from a snapshot, CatchUpTimes the times from then until
 	// each host held its list, in rising order.
 	Relisted int
-	Caught   []time.Duration
-	// Readers is how many hosts follow the store at the end.
-	Readers int
+	CatchUpTimes   []time.Duration
+	// StoreReaders is how many hosts follow the store at the end.
+	StoreReaders int
 }
 
 // Times of the model, from logs and benchmarks of the daemon. Work is that of a whole core, and
@@ -103,8 +103,8 @@
 	out   FleetResult
 }
 
-// PlayFleet plays a start. Equal arguments give equal results.
-func PlayFleet(f *Fleet, seed uint64) *FleetResult {
+// RunFleet plays a start. Equal arguments give equal results.
+func RunFleet(f *Fleet, seed uint64) *FleetResult {
 	w := &fleetPlay{
 		clock: newClock(), f: f, rng: rand.New(rand.NewPCG(seed, 1)), at: make(map[netip.AddrPort]*fleetHost),
 	}
@@ -115,7 +115,7 @@
 	}
 	for i := range fleetSeeds {
 		at := w.hosts[(i*len(w.hosts))/fleetSeeds+f.Large].self.Control
-		if f.DarkSeeds {
+		if f.SeedsDown {
 			at = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 99, 0, byte(i + 1)}), 1)
 		}
 		w.seeds = append(w.seeds, at)
@@ -126,11 +126,11 @@
 	w.run(f.Length)
 	for _, h := range w.hosts {
 		if h.ready && h.reads() {
-			w.out.Readers++
+			w.out.StoreReaders++
 		}
 	}
-	slices.Sort(w.out.Ready)
-	slices.Sort(w.out.Caught)
+	slices.Sort(w.out.ReadyTimes)
+	slices.Sort(w.out.CatchUpTimes)
 	return &w.out
 }
 
@@ -161,9 +161,9 @@
 	h.group = peer.NewMembership(peer.Config{
 		ProbePeriod: 2 * peer.DefaultProbePeriod, Updates: peer.MaxUpdates,
 	}, h.self, rand.New(rand.NewPCG(h.w.rng.Uint64(), 1)))
-	h.start = peer.Startup{StartedAt: h.w.wall(), FirstStart: h.w.f.First}
-	if !h.w.f.First {
-		h.w.after(h.w.jitter(2*h.w.f.CallerAfter), func() { h.callers = true })
+	h.start = peer.Startup{StartedAt: h.w.wall(), FirstStart: h.w.f.FirstStart}
+	if !h.w.f.FirstStart {
+		h.w.after(h.w.jitter(2*h.w.f.CallerDelay), func() { h.callers = true })
 	}
 	h.send(h.group.Seed(h.w.seeds))
 	h.w.every(fleetTick, fleetTick, func() { h.send(h.group.Tick(h.w.wall())) })
@@ -190,7 +190,7 @@
 
 // meet greets the contacts that the store names: the first of each zone.
 func (h *fleetHost) meet() {
-	if !h.ready || len(h.look().Members) > 1 || h.w.f.First {
+	if !h.ready || len(h.look().Members) > 1 || h.w.f.FirstStart {
 		return
 	}
 	h.w.out.Calls++
@@ -312,7 +312,7 @@
 func (h *fleetHost) catchUp() {
 	if !h.caughtUp {
 		h.caughtUp = true
-		h.w.out.Caught = append(h.w.out.Caught, h.w.now-h.w.f.StoreUntil)
+		h.w.out.CatchUpTimes = append(h.w.out.CatchUpTimes, h.w.now-h.w.f.StoreUntil)
 	}
 }
 
@@ -333,7 +333,7 @@
 	if !h.ready {
 		h.ready = true
 		h.group.SetBundle(1)
-		h.w.out.Ready = append(h.w.out.Ready, h.w.now-h.started)
+		h.w.out.ReadyTimes = append(h.w.out.ReadyTimes, h.w.now-h.started)
 		for _, after := range [...]time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 			h.w.after(after/2+h.w.jitter(after), h.join)
 		}
@@ -355,7 +355,7 @@
 	h.send(h.group.PingAddress(to.self.Control))
 	h.work(messageWork, func() {
 		h.w.after(2*fleetWay, func() {
-			if !to.ready || h.w.f.RefuseToTell {
+			if !to.ready || h.w.f.RefuseCatalogRequests {
 				return
 			}
 			told := time.Duration(h.w.f.Upstreams) * toldWork
--- a/internal/standin/emulator/fleet_test.go
+++ b/internal/standin/emulator/fleet_test.go
@@ -20,10 +20,10 @@
 func TestFirstStartOfAFleetCostsTheStoreLittle(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
-	f.First = true
-	r := emulator.PlayFleet(&f, 1)
-	g.Expect(r.Ready).To(HaveLen(195))
-	g.Expect(r.Ready[194]).To(BeNumerically("<", 5*time.Second))
+	f.FirstStart = true
+	r := emulator.RunFleet(&f, 1)
+	g.Expect(r.ReadyTimes).To(HaveLen(195))
+	g.Expect(r.ReadyTimes[194]).To(BeNumerically("<", 5*time.Second))
 	g.Expect(r.Calls).To(BeNumerically("<", 195), "less than one for each host")
 }
 
@@ -32,10 +32,10 @@
 func TestReturnOfAFleetDelaysNobody(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
-	f.CallerAfter, f.Length = 50*time.Millisecond, 4*time.Second
-	r := emulator.PlayFleet(&f, 1)
-	g.Expect(r.Ready).To(HaveLen(195))
-	g.Expect(r.Ready[194]).To(BeNumerically("<", 250*time.Millisecond))
+	f.CallerDelay, f.Length = 50*time.Millisecond, 4*time.Second
+	r := emulator.RunFleet(&f, 1)
+	g.Expect(r.ReadyTimes).To(HaveLen(195))
+	g.Expect(r.ReadyTimes[194]).To(BeNumerically("<", 250*time.Millisecond))
 	g.Expect(r.Calls).To(BeNumerically("<", 4*195))
 }
 
@@ -45,11 +45,11 @@
 func TestCallsOfAReturnDoNotGrowFasterThanTheFleet(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
-	f.CallerAfter, f.Length = 50*time.Millisecond, 3*time.Second
-	small := emulator.PlayFleet(&f, 1)
+	f.CallerDelay, f.Length = 50*time.Millisecond, 3*time.Second
+	small := emulator.RunFleet(&f, 1)
 	f.Large, f.Small = 9, 91
-	large := emulator.PlayFleet(&f, 1)
-	g.Expect(large.Ready).To(HaveLen(500))
+	large := emulator.RunFleet(&f, 1)
+	g.Expect(large.ReadyTimes).To(HaveLen(500))
 	g.Expect(float64(large.Calls) / 500).To(BeNumerically("<=", 1.1*float64(small.Calls)/195+1))
 }
 
@@ -60,10 +60,10 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			f := fleet195()
-			f.DarkSeeds, f.First, f.Length = true, first, 3*time.Second
-			r := emulator.PlayFleet(&f, 1)
-			g.Expect(r.Ready).To(HaveLen(195))
-			g.Expect(r.Ready[194]).To(BeNumerically("<", 2*time.Second))
+			f.SeedsDown, f.FirstStart, f.Length = true, first, 3*time.Second
+			r := emulator.RunFleet(&f, 1)
+			g.Expect(r.ReadyTimes).To(HaveLen(195))
+			g.Expect(r.ReadyTimes[194]).To(BeNumerically("<", 2*time.Second))
 		})
 	}
 }
@@ -73,10 +73,10 @@
 func TestFleetStartsThoughNobodyTells(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
-	f.First, f.RefuseToTell = true, true
-	r := emulator.PlayFleet(&f, 1)
-	g.Expect(r.Ready).To(HaveLen(195))
-	g.Expect(r.Ready[194]).To(BeNumerically("<", 7*time.Second))
+	f.FirstStart, f.RefuseCatalogRequests = true, true
+	r := emulator.RunFleet(&f, 1)
+	g.Expect(r.ReadyTimes).To(HaveLen(195))
+	g.Expect(r.ReadyTimes[194]).To(BeNumerically("<", 7*time.Second))
 }
 
 // The store refuses calls for 6.5 s while the fleet runs. Every host that hears nothing fresh
@@ -85,13 +85,13 @@
 func TestFewAskAStoreThatRefuses(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
-	f.First, f.Length = true, 14*time.Second
-	calm := emulator.PlayFleet(&f, 1)
+	f.FirstStart, f.Length = true, 14*time.Second
+	calm := emulator.RunFleet(&f, 1)
 	f.StoreFrom, f.StoreUntil = 5*time.Second, 11500*time.Millisecond
-	r := emulator.PlayFleet(&f, 1)
+	r := emulator.RunFleet(&f, 1)
 	g.Expect(r.Refused).To(BeNumerically(">", 0))
 	g.Expect(r.Calls - calm.Calls).To(BeNumerically("<", 700))
-	g.Expect(r.Readers).To(BeNumerically("<=", 5))
+	g.Expect(r.StoreReaders).To(BeNumerically("<=", 5))
 }
 
 // Guards against a restore of the store that all hosts answer by listing it at once.
@@ -103,16 +103,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			f.First, f.Length = true, 14*time.Second
+			f.FirstStart, f.Length = true, 14*time.Second
 			f.StoreFrom, f.StoreUntil = 6*time.Second, 8500*time.Millisecond
-			away := emulator.PlayFleet(&f, 1)
+			away := emulator.RunFleet(&f, 1)
 			f.StoreRestored = true
-			r := emulator.PlayFleet(&f, 1)
+			r := emulator.RunFleet(&f, 1)
 			hosts := f.Zones * (f.Large + f.Small)
 			t.Logf("%d calls, %d without the restore, %d listed, the last host caught up after %v",
-				r.Calls, away.Calls, r.Relisted, r.Caught[len(r.Caught)-1])
-			g.Expect(r.Caught).To(HaveLen(hosts))
-			g.Expect(r.Caught[hosts-1]).To(BeNumerically("<", 1500*time.Millisecond), "half of the bound for a drain")
+				r.Calls, away.Calls, r.Relisted, r.CatchUpTimes[len(r.CatchUpTimes)-1])
+			g.Expect(r.CatchUpTimes).To(HaveLen(hosts))
+			g.Expect(r.CatchUpTimes[hosts-1]).To(BeNumerically("<", 1500*time.Millisecond), "half of the bound for a drain")
 			g.Expect(r.Calls-away.Calls).To(BeNumerically("<=", 4*f.Zones*4), "the first in rank of each zone")
 		})
 	}
--- a/internal/standin/emulator/play.go
+++ b/internal/standin/emulator/play.go
@@ -57,8 +57,8 @@
 // flowTail is how long requests of the end have to be answered.
 const flowTail = 5 * time.Second
 
-// Play plays a pattern. Equal arguments give equal results.
-func Play(p *Pattern, o Options) (*Result, error) {
+// Run plays a pattern. Equal arguments give equal results.
+func Run(p *Pattern, o Options) (*Result, error) {
 	if o.Policy.New == nil {
 		o.Policy = Policies()[0]
 	}
--- a/internal/standin/emulator/policy.go
+++ b/internal/standin/emulator/policy.go
@@ -5,15 +5,15 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// World is what a policy that knows everything may look at.
-type World interface {
-	// Waiting returns how many requests an upstream works on or lets wait, for each of its
+// QueueObserver is what a policy that knows everything may look at.
+type QueueObserver interface {
+	// QueuePerSlot returns how many requests an upstream works on or lets wait, for each of its
 	// slots, and whether it takes more.
-	Waiting(id bundle.UpstreamID) (perSlot float64, room bool)
+	QueuePerSlot(id bundle.UpstreamID) (perSlot float64, room bool)
 }
 
-// Waiting implements World.
-func (w *play) Waiting(id bundle.UpstreamID) (perSlot float64, room bool) {
+// QueuePerSlot implements QueueObserver.
+func (w *play) QueuePerSlot(id bundle.UpstreamID) (perSlot float64, room bool) {
 	s := w.server(id)
 	if s == nil {
 		return 0, false
@@ -25,23 +25,23 @@
 type NamedPolicy struct {
 	Name string
 	// New makes the policy of one host.
-	New func(zone bundle.Zone, w World) upstream.Policy
+	New func(zone bundle.Zone, w QueueObserver) upstream.Policy
 }
 
 // Policies returns the policies that can be compared, the product's own first.
 func Policies() []NamedPolicy {
-	zoned := func(choices int) func(bundle.Zone, World) upstream.Policy {
-		return func(z bundle.Zone, _ World) upstream.Policy { return upstream.NewZoneAware(z, choices) }
+	zoned := func(choices int) func(bundle.Zone, QueueObserver) upstream.Policy {
+		return func(z bundle.Zone, _ QueueObserver) upstream.Policy { return upstream.NewZoneAware(z, choices) }
 	}
 	return []NamedPolicy{
 		{Name: "Present", New: zoned(upstream.DefaultChoices)},
-		{Name: "Before", New: func(z bundle.Zone, _ World) upstream.Policy {
+		{Name: "Before", New: func(z bundle.Zone, _ QueueObserver) upstream.Policy {
 			return &blind{Policy: upstream.NewZoneAware(z, upstream.DefaultChoices)}
 		}},
 		{Name: "OneChoice", New: zoned(1)},
 		{Name: "LeastOfAll", New: zoned(everyCandidate)},
-		{Name: "Hashed", New: func(z bundle.Zone, _ World) upstream.Policy { return &hashed{zone: z} }},
-		{Name: "AllKnowing", New: func(z bundle.Zone, w World) upstream.Policy { return &allKnowing{zone: z, world: w} }},
+		{Name: "Hashed", New: func(z bundle.Zone, _ QueueObserver) upstream.Policy { return &hashed{zone: z} }},
+		{Name: "AllKnowing", New: func(z bundle.Zone, w QueueObserver) upstream.Policy { return &allKnowing{zone: z, world: w} }},
 	}
 }
 
@@ -91,7 +91,7 @@
 // shortest of all. What it serves more than the product is what knowledge could still buy.
 type allKnowing struct {
 	zone  bundle.Zone
-	world World
+	world QueueObserver
 }
 
 // Choose implements upstream.Policy.
@@ -113,7 +113,7 @@
 
 // cost is how long a request would wait there, with its flows to tell equal ones apart.
 func (a *allKnowing) cost(c *upstream.Candidate) (float64, bool) {
-	perSlot, room := a.world.Waiting(c.Route.ID)
+	perSlot, room := a.world.QueuePerSlot(c.Route.ID)
 	if !room {
 		return 0, false
 	}
--- a/internal/standin/emulator/result.go
+++ b/internal/standin/emulator/result.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Worst returns the mean worth of the two windows that served least, as the users weigh it.
-func (r *Result) Worst() float64 {
+// WorstWindows returns the mean worth of the two windows that served least, as the users weigh it.
+func (r *Result) WorstWindows() float64 {
 	first, second := 1.0, 1.0
 	for i := range r.Windows {
 		switch w := r.Windows[i].Worth(); {
--- a/internal/standin/flows/caller.go
+++ b/internal/standin/flows/caller.go
@@ -28,21 +28,21 @@
 	Router     *Router
 	Codec      Codec
 	Rng        *rand.Rand
-	// Fresh makes a flow for each request.
-	Fresh bool
-	// Serves says whether a service may answer a flow that was opened at a time.
-	Serves func(service string, opened time.Time) bool
-	// Judge says whether a reset of an open flow is allowed. The cookie is the one
+	// FlowPerRequest makes a flow for each request.
+	FlowPerRequest bool
+	// MayAnswer says whether a service may answer a flow that was opened at a time.
+	MayAnswer func(service string, opened time.Time) bool
+	// ResetAllowed says whether a reset of an open flow is allowed. The cookie is the one
 	// that the flow opened with.
-	Judge func(at cookie.Cookie, caller netip.AddrPort) (allowed bool)
+	ResetAllowed func(at cookie.Cookie, caller netip.AddrPort) (allowed bool)
 }
 
-// Tally is what a caller saw.
-type Tally struct {
+// CallerStats is what a caller saw.
+type CallerStats struct {
 	Requests, Answered, Unanswered int
-	Opened, NotOpened, Reset       int
-	// Broken tells of each broken promise.
-	Broken []string
+	Opened, FailedOpens, Reset       int
+	// Violations tells of each broken promise.
+	Violations []string
 	// Outcomes has the time and success of each request, for availability over time.
 	Outcomes []Outcome
 }
@@ -59,7 +59,7 @@
 	conn  *net.UDPConn
 	port  uint16
 	in    chan *Segment
-	tally Tally
+	tally CallerStats
 
 	open     bool
 	opened   time.Time
@@ -99,7 +99,7 @@
 }
 
 // Run makes requests until ctx ends and returns what the caller saw.
-func (c *Caller) Run(ctx context.Context) Tally {
+func (c *Caller) Run(ctx context.Context) CallerStats {
 	for ctx.Err() == nil {
 		c.pause(ctx)
 		if ctx.Err() != nil {
@@ -156,7 +156,7 @@
 	}
 	c.open = false
 	c.tally.Reset++
-	if !c.Judge(c.at, c.end()) {
+	if !c.ResetAllowed(c.at, c.end()) {
 		c.broke("open flow %v with cookie %x was reset", c.end(), c.at)
 	}
 }
@@ -165,7 +165,7 @@
 const resetWindow = 76_800
 
 func (c *Caller) broke(format string, args ...any) {
-	c.tally.Broken = append(c.tally.Broken, fmt.Sprintf("%s: ", time.Now().Format("15:04:05.000"))+fmt.Sprintf(format, args...))
+	c.tally.Violations = append(c.tally.Violations, fmt.Sprintf("%s: ", time.Now().Format("15:04:05.000"))+fmt.Sprintf(format, args...))
 }
 
 func (c *Caller) end() netip.AddrPort { return netip.AddrPortFrom(c.IP, c.port) }
@@ -210,7 +210,7 @@
 				c.send(first)
 			}
 		case s.Flags.Has(cookie.FlagRST):
-			c.tally.NotOpened++
+			c.tally.FailedOpens++
 			return false
 		default:
 			c.seq++
@@ -220,7 +220,7 @@
 			return true
 		}
 	}
-	c.tally.NotOpened++
+	c.tally.FailedOpens++
 	return false
 }
 
@@ -275,11 +275,11 @@
 		return false, false
 	}
 	var a Answer
-	if err := json.Unmarshal(s.Data, &a); err != nil || a.ID != id || !c.Serves(a.Service, c.opened) {
+	if err := json.Unmarshal(s.Data, &a); err != nil || a.ID != id || !c.MayAnswer(a.Service, c.opened) {
 		c.broke("answer %+v to request %x, flow of %v", a, id, c.opened.Format("15:04:05.000"))
 		return false, true
 	}
-	if s.Flags.Has(cookie.FlagFIN) || c.Fresh {
+	if s.Flags.Has(cookie.FlagFIN) || c.FlowPerRequest {
 		c.close(s)
 		return true, true
 	}
--- a/internal/standin/flows/router.go
+++ b/internal/standin/flows/router.go
@@ -23,9 +23,9 @@
 
 // Host is a balancer as routers know it.
 type Host struct {
-	Data netip.AddrPort
-	// Ready is asked over HTTP.
-	Ready  string
+	DataAddress netip.AddrPort
+	// ReadinessURL is asked over HTTP.
+	ReadinessURL  string
 	misses int
 	in     bool
 }
@@ -51,7 +51,7 @@
 	t := time.NewTicker(checkPeriod)
 	defer t.Stop()
 	for {
-		r.checked(h, ready(ctx, client, h.Ready))
+		r.checked(h, ready(ctx, client, h.ReadinessURL))
 		select {
 		case <-ctx.Done():
 			return
@@ -107,8 +107,8 @@
 	return n
 }
 
-// Cut drops what goes to a balancer, or ends that.
-func (r *Router) Cut(host netip.AddrPort, cut bool) {
+// SetUnreachable drops what goes to a balancer, or ends that.
+func (r *Router) SetUnreachable(host netip.AddrPort, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut[host] = cut
@@ -122,6 +122,6 @@
 		return netip.AddrPort{}, false
 	}
 	h := xxhash.Sum64String(from.String() + to.String())
-	at := r.rotation[h%uint64(len(r.rotation))].Data
+	at := r.rotation[h%uint64(len(r.rotation))].DataAddress
 	return at, !r.cut[at]
 }
--- a/internal/standin/flows/upstream.go
+++ b/internal/standin/flows/upstream.go
@@ -24,7 +24,7 @@
 	Address netip.AddrPort
 	// CallerPort is the port at which callers take datagrams.
 	CallerPort uint16
-	Work       time.Duration
+	WorkTime       time.Duration
 	Slots      int
 	Codec      Codec
 	// Health answers health requests.
@@ -99,9 +99,9 @@
 	_ = u.http.Close()
 }
 
-// SetDark makes the upstream drop all it gets, or ends that. Its health port still
+// SetSilent makes the upstream drop all it gets, or ends that. Its health port still
 // accepts, as that of a host whose process hangs.
-func (u *Upstream) SetDark(dark bool) {
+func (u *Upstream) SetSilent(dark bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dark = dark
@@ -121,8 +121,8 @@
 	return !u.dark && !u.closed
 }
 
-// Reset reports whether the upstream itself reset the flow of a caller's end.
-func (u *Upstream) Reset(caller netip.AddrPort) bool {
+// HasReset reports whether the upstream itself reset the flow of a caller's end.
+func (u *Upstream) HasReset(caller netip.AddrPort) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.resets[caller]
@@ -246,7 +246,7 @@
 	u.mu.Lock()
 	u.runs[id]++
 	u.mu.Unlock()
-	time.Sleep(u.Work)
+	time.Sleep(u.WorkTime)
 	<-u.slots
 	b, err := json.Marshal(Answer{ID: id, Upstream: u.ID, Service: u.Service})
 	if err != nil {
--- a/internal/standin/ledger/ledger.go
+++ b/internal/standin/ledger/ledger.go
@@ -27,7 +27,7 @@
 	WrongAnswers, WrongService                     int
 	// RefusedIDs are the requests that were told not to have run.
 	RefusedIDs []RequestID
-	// Broken tells of each broken flow why.
+	// Broken holds the reason of each broken flow.
 	Broken []string
 }
 
@@ -120,7 +120,7 @@
 	return worst
 }
 
-// Kept reports whether every promise was kept.
-func (r *Report) Kept() bool {
+// NoViolations reports whether every promise was kept.
+func (r *Report) NoViolations() bool {
 	return r.BrokenFlows+r.WrongAnswers+r.WrongService+r.DoubleRuns+r.RanAfterRefusal == 0
 }
--- a/internal/standin/links/links.go
+++ b/internal/standin/links/links.go
@@ -27,14 +27,14 @@
 	*peer.Membership
 	// Host is how the member introduces itself.
 	Host peer.Member
-	// Up is cleared to end the member without notice.
-	Up bool
+	// Running is cleared to end the member without notice.
+	Running bool
 	// PausedUntil keeps the member from running; its datagrams wait.
 	PausedUntil time.Time
-	// Clock is by how much its time of day is wrong at its next boot.
-	Clock time.Duration
-	// Sent and Bytes count datagrams, with their headers, while Measured is set.
-	Sent, Bytes int
+	// ClockError is by how much its time of day is wrong at its next boot.
+	ClockError time.Duration
+	// SentDatagrams and SentBytes count datagrams, with their headers, while CountBytes is set.
+	SentDatagrams, SentBytes int
 }
 
 // Network runs memberships over links in memory. It isn't safe for concurrent use.
@@ -42,12 +42,12 @@
 	Now     time.Time
 	Rng     *rand.Rand
 	Members []*Member
-	// Loss is the share of datagrams that is lost.
-	Loss float64
-	// Cut says which members don't reach each other; nil for none.
-	Cut func(a, b *Member) bool
-	// Measured makes each message count with its encoded size.
-	Measured bool
+	// LossRate is the share of datagrams that is lost.
+	LossRate float64
+	// Unreachable says which members don't reach each other; nil for none.
+	Unreachable func(a, b *Member) bool
+	// CountBytes makes each message count with its encoded size.
+	CountBytes bool
 
 	cfg   peer.Config
 	codec *peer.Codec[peer.Message, *peer.Message]
@@ -60,10 +60,10 @@
 }
 
 // New returns a network of n members, which know a few hosts of a common list.
-func New(n int, seed uint64) *Network { return NewWith(n, seed, peer.Config{}) }
+func New(n int, seed uint64) *Network { return NewWithConfig(n, seed, peer.Config{}) }
 
-// NewWith returns a network of members with other times than the default ones.
-func NewWith(n int, seed uint64, cfg peer.Config) *Network {
+// NewWithConfig returns a network of members with other times than the default ones.
+func NewWithConfig(n int, seed uint64, cfg peer.Config) *Network {
 	codec, err := peer.NewCodec[peer.Message]([]byte("secret of the tests"), peer.DomainMembership)
 	if err != nil {
 		panic(err)
@@ -75,15 +75,15 @@
 	return w
 }
 
-// ControlAt returns the control address of the i-th member.
-func ControlAt(i int) netip.AddrPort {
+// ControlAddress returns the control address of the i-th member.
+func ControlAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 6082)
 }
 
 // Add starts one more member.
 func (w *Network) Add() *Member {
 	i := len(w.Members)
-	at := ControlAt(i)
+	at := ControlAddress(i)
 	m := &Member{Host: peer.Member{
 		ID: peer.IDOf(fmt.Sprintf("host-%d", i)), Name: fmt.Sprintf("host-%d", i),
 		Zone: []bundle.Zone{"a", "b", "c"}[i%3],
@@ -96,14 +96,14 @@
 
 // Boot starts a member that knows only a few hosts of the platform's list.
 func (w *Network) Boot(m *Member) {
-	m.Up = true
+	m.Running = true
 	m.Host.Boot = w.Rng.Uint64()
-	m.Host.Incarnation = peer.Incarnation(w.Now.Add(m.Clock).UnixMilli())
+	m.Host.Incarnation = peer.Incarnation(w.Now.Add(m.ClockError).UnixMilli())
 	m.Membership = peer.NewMembership(w.cfg, m.Host, rand.New(rand.NewPCG(w.Rng.Uint64(), 2)))
 	known := min(len(w.Members), 5)
 	seeds := make([]netip.AddrPort, 0, known)
 	for i := range known {
-		seeds = append(seeds, ControlAt(i))
+		seeds = append(seeds, ControlAddress(i))
 	}
 	w.Send(m, m.Seed(seeds))
 }
@@ -111,14 +111,14 @@
 // Send puts what a member sends on its links.
 func (w *Network) Send(m *Member, out []peer.Envelope) {
 	for i := range out {
-		if w.Measured {
+		if w.CountBytes {
 			b, err := w.codec.Encode(&out[i].Message)
 			if err != nil {
 				panic(err)
 			}
-			m.Bytes += len(b) + headerBytes
+			m.SentBytes += len(b) + headerBytes
 		}
-		m.Sent++
+		m.SentDatagrams++
 		w.queue = append(w.queue, datagram{from: m.Host.Control, to: out[i].To, body: &out[i].Message})
 	}
 }
@@ -142,7 +142,7 @@
 			w.arrive(g)
 		}
 		for _, m := range w.Members {
-			if m.Up && !w.Now.Before(m.PausedUntil) {
+			if m.Running && !w.Now.Before(m.PausedUntil) {
 				w.Send(m, m.Tick(w.Now))
 			}
 		}
@@ -151,7 +151,7 @@
 
 func (w *Network) arrive(g datagram) {
 	to, from := w.at(g.to), w.at(g.from)
-	if to == nil || !to.Up || w.Rng.Float64() < w.Loss || w.Cut != nil && w.Cut(from, to) {
+	if to == nil || !to.Running || w.Rng.Float64() < w.LossRate || w.Unreachable != nil && w.Unreachable(from, to) {
 		return
 	}
 	if w.Now.Before(to.PausedUntil) {
@@ -161,24 +161,24 @@
 	w.Send(to, to.Receive(w.Now, g.from, g.body))
 }
 
-// Agreed reports whether each member that is up sees exactly those.
-func (w *Network) Agreed() bool {
+// Converged reports whether each member that is up sees exactly those.
+func (w *Network) Converged() bool {
 	n := 0
 	for _, m := range w.Members {
-		if m.Up {
+		if m.Running {
 			n++
 		}
 	}
 	for _, m := range w.Members {
-		if m.Up && len(m.View().Members) != n {
+		if m.Running && len(m.View().Members) != n {
 			return false
 		}
 	}
 	return true
 }
 
-// Until runs until f holds and returns how long that took, at most limit.
-func (w *Network) Until(limit time.Duration, f func() bool) time.Duration {
+// RunUntil runs until f holds and returns how long that took, at most limit.
+func (w *Network) RunUntil(limit time.Duration, f func() bool) time.Duration {
 	start := w.Now
 	for w.Now.Sub(start) < limit && !f() {
 		w.Run(Step)
--- a/internal/standin/world/callers.go
+++ b/internal/standin/world/callers.go
@@ -15,9 +15,9 @@
 const callerRetries = 2
 
 // Work lets all callers make requests until ctx ends and returns what they saw.
-func (w *World) Work(ctx context.Context) ([]flows.Tally, error) {
+func (w *World) Work(ctx context.Context) ([]flows.CallerStats, error) {
 	var wg sync.WaitGroup
-	tallies := make([]flows.Tally, w.opts.Callers)
+	tallies := make([]flows.CallerStats, w.opts.Callers)
 	for i := range tallies {
 		c, stop, err := flows.NewCaller(w.caller(i))
 		if err != nil {
@@ -37,15 +37,15 @@
 		IP: netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i + 1)}), Port: w.ports.Data,
 		Idempotent: i%3 != 0, Period: callerPeriod, Deadline: callerDeadline, Retries: callerRetries,
 		Router: w.Router, Codec: metadata.Segments{}, Rng: rand.New(rand.NewPCG(w.opts.Seed, uint64(i))),
-		Judge: w.Judge,
+		ResetAllowed: w.Judge,
 	}
 	switch i % 4 {
 	case 0, 1:
-		o.Service, o.Serves = feedAt, only(ServiceFeed)
+		o.Service, o.MayAnswer = feedAt, only(ServiceFeed)
 	case 2:
-		o.Service, o.Serves = sheetsAt, only(ServiceSheets)
+		o.Service, o.MayAnswer = sheetsAt, only(ServiceSheets)
 	case 3:
-		o.Service, o.Serves, o.Fresh = switchAt, w.Serves, true
+		o.Service, o.MayAnswer, o.FlowPerRequest = switchAt, w.Serves, true
 	}
 	return o
 }
--- a/internal/standin/world/servers.go
+++ b/internal/standin/world/servers.go
@@ -129,7 +129,7 @@
 	if s != nil && w.heldBefore(s, caller) {
 		return true
 	}
-	if s == nil || !s.Alive() || !s.crashing.IsZero() || s.Reset(caller) {
+	if s == nil || !s.Alive() || !s.crashing.IsZero() || s.HasReset(caller) {
 		return true
 	}
 	// What a cut breaks is noticed for a while after it.
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -241,8 +241,8 @@
 	}
 	w.cleanup = append(w.cleanup, stop)
 	h.route = &flows.Host{
-		Data:  netip.AddrPortFrom(ip, w.ports.Data),
-		Ready: metadata.ReadinessURL(netip.AddrPortFrom(ip, w.ports.Ready)),
+		DataAddress:  netip.AddrPortFrom(ip, w.ports.Data),
+		ReadinessURL: metadata.ReadinessURL(netip.AddrPortFrom(ip, w.ports.Ready)),
 	}
 	w.Hosts = append(w.Hosts, h)
 	return h, nil
@@ -294,7 +294,7 @@
 	id := bundle.UpstreamID(w.rng.Uint64N(1 << 40))
 	return w.startServer(flows.UpstreamOptions{
 		ID: id, Service: service, Zone: bundle.Zone(zone), Address: at, CallerPort: w.ports.Data,
-		Work: workTime, Slots: slotsPerServer, Codec: metadata.Segments{}, Health: metadata.Health(id),
+		WorkTime: workTime, Slots: slotsPerServer, Codec: metadata.Segments{}, Health: metadata.Health(id),
 	})
 }
 
@@ -364,7 +364,7 @@
 }
 
 // DataAddress returns where a host's daemon takes packets.
-func (w *World) DataAddress(h *Host) netip.AddrPort { return h.route.Data }
+func (w *World) DataAddress(h *Host) netip.AddrPort { return h.route.DataAddress }
 
 // Disturbed notes that a fault is at work for a time: the bounds on time don't hold
 // until settleAfter has passed after it.
