--- a/internal/standin/emulator/fleet.go
+++ b/internal/standin/emulator/fleet.go
@@ -20,7 +20,7 @@
 	Upstreams int
 	// FirstStart says that the system starts for the first time: no callers wait. Otherwise a caller's
 	// packet comes to each host after CallerAfter on average.
-	FirstStart       bool
+	FirstStart  bool
 	CallerDelay time.Duration
 	// SeedsDown:  don't start; the seeds are the first Seeds of them and then others.
 	SeedsDown bool
@@ -43,8 +43,8 @@
 	ReadyTimes []time.Duration
 	// Relisted is how many hosts listed again after the store was restored from a snapshot, CatchUpTimes the times from then until
 	// each host held its list, in rising order.
-	Relisted int
-	CatchUpTimes   []time.Duration
+	Relisted     int
+	CatchUpTimes []time.Duration
 	// StoreReaders is how many hosts follow the store at the end.
 	StoreReaders int
 }
--- a/internal/standin/flows/caller.go
+++ b/internal/standin/flows/caller.go
@@ -40,7 +40,7 @@
 // CallerStats is what a caller saw.
 type CallerStats struct {
 	Requests, Answered, Unanswered int
-	Opened, FailedOpens, Reset       int
+	Opened, FailedOpens, Reset     int
 	// Violations tells of each broken promise.
 	Violations []string
 	// Outcomes has the time and success of each request, for availability over time.
--- a/internal/standin/flows/router.go
+++ b/internal/standin/flows/router.go
@@ -25,9 +25,9 @@
 type Host struct {
 	DataAddress netip.AddrPort
 	// ReadinessURL is asked over HTTP.
-	ReadinessURL  string
-	misses int
-	in     bool
+	ReadinessURL string
+	misses       int
+	in           bool
 }
 
 const (
--- a/internal/standin/flows/upstream.go
+++ b/internal/standin/flows/upstream.go
@@ -24,7 +24,7 @@
 	Address netip.AddrPort
 	// CallerPort is the port at which callers take datagrams.
 	CallerPort uint16
-	WorkTime       time.Duration
+	WorkTime   time.Duration
 	Slots      int
 	Codec      Codec
 	// Health answers health requests.
