--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -162,7 +162,7 @@
 }
 
 func newCookieMember(i int) peer.Member {
-	at := links.ControlAt(i)
+	at := links.ControlAddress(i)
 	name := fmt.Sprintf("edge-%d", i)
 	return peer.Member{
 		ID: peer.IDOf(name), Name: name, Zone: bundle.Zone(fmt.Sprintf("zone-%d", i%fleetZones)),
@@ -213,14 +213,14 @@
 func measureCookieGossip(sizes []int) Slope {
 	s := Slope{Name: "gossip", SizeUnit: "members", CostUnit: "B/s sent per daemon"}
 	for _, n := range sizes {
-		w := links.NewWith(n, 1, peer.Config{ProbePeriod: cookieProbePeriod, Updates: peer.MaxUpdates})
-		w.Until(warmUpTime, w.Agreed)
+		w := links.NewWithConfig(n, 1, peer.Config{ProbePeriod: cookieProbePeriod, Updates: peer.MaxUpdates})
+		w.RunUntil(warmUpTime, w.Converged)
 		w.Run(2 * warmUpTime) // Until the updates about their start have been disseminated.
-		w.Measured = true
+		w.CountBytes = true
 		w.Run(measuredTime)
 		sum := 0
 		for _, m := range w.Members {
-			sum += m.Bytes
+			sum += m.SentBytes
 		}
 		s.Points = append(s.Points, Point{float64(n), float64(sum) / float64(n) / measuredTime.Seconds()})
 	}
--- a/internal/process/capacity/measure.go
+++ b/internal/process/capacity/measure.go
@@ -33,18 +33,18 @@
 	cpu = Slope{Name: "control-cpu", SizeUnit: "members of a cell", CostUnit: "µs/s per daemon"}
 	for _, n := range sizes {
 		w := links.New(n, 1)
-		w.Until(warmUpTime, w.Agreed)
+		w.RunUntil(warmUpTime, w.Converged)
 		w.Run(warmUpTime / 3)
 		for _, m := range w.Members {
 			m.SetFlows(flowCounts())
 		}
-		w.Measured = true
+		w.CountBytes = true
 		began := time.Now()
 		w.Run(measuredTime)
 		took := time.Since(began)
 		sum := 0
 		for _, m := range w.Members {
-			sum += m.Bytes
+			sum += m.SentBytes
 		}
 		perMember := float64(n) * measuredTime.Seconds()
 		bytes.Points = append(bytes.Points, Point{float64(n), float64(sum) / perMember})
@@ -85,7 +85,7 @@
 	for i := range members {
 		members[i] = peer.Member{
 			ID: peer.IDOf(fmt.Sprint("host-", i)), Zone: bundle.Zone(fmt.Sprint(i % zoneCount)),
-			Data: netip.AddrPortFrom(links.ControlAt(i).Addr(), 6081),
+			Data: netip.AddrPortFrom(links.ControlAddress(i).Addr(), 6081),
 		}
 	}
 	return peer.NewView(members[0].ID, members, peer.Changes{})
--- a/internal/process/experiment/experiment.go
+++ b/internal/process/experiment/experiment.go
@@ -115,7 +115,7 @@
 // runJob runs the emulator once and stores the result.
 func (r *runner) runJob(j job) {
 	w := &r.rows[j.row]
-	result, err := emulator.Play(w.pattern, emulator.Options{Seed: r.opts.FirstSeed + uint64(j.seed), Policy: w.policy})
+	result, err := emulator.Run(w.pattern, emulator.Options{Seed: r.opts.FirstSeed + uint64(j.seed), Policy: w.policy})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w.results[j.seed] = result
