--- a/cmd/fescueshed/zone_test.go
+++ b/cmd/fescueshed/zone_test.go
@@ -54,8 +54,8 @@
 	if store.Content(wire.KindEvacuations, "eats") != "" {
 		t.Error("a zone that nobody knows was written")
 	}
-	store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
-	time.AfterFunc(500*time.Millisecond, func() { store.SetTrouble(metadata.Trouble{}) })
+	store.SetFaults(metadata.Faults{Status: http.StatusServiceUnavailable})
+	time.AfterFunc(500*time.Millisecond, func() { store.SetFaults(metadata.Faults{}) })
 	if out, err := run("evacuate", "east"); err != nil || store.Content(wire.KindEvacuations, "east") == "" {
 		t.Errorf("while the store is busy: %v, %q", err, out)
 	}
--- a/cmd/soak/fault.go
+++ b/cmd/soak/fault.go
@@ -99,36 +99,36 @@
 
 func (r *run) storeLink() string {
 	h := r.w.Hosts[r.host()]
-	f := world.LinkFault(1 + r.rng.IntN(int(world.LinkFaults)-1))
+	f := world.LinkFault(1 + r.rng.IntN(int(world.LinkFaultCount)-1))
 	d := r.duration()
-	h.Proxy.Set(f)
-	time.AfterFunc(d, func() { h.Proxy.Set(world.LinkGood) })
+	h.StoreProxy.SetFault(f)
+	time.AfterFunc(d, func() { h.StoreProxy.SetFault(world.LinkOK) })
 	return fmt.Sprintf("%s's link to the store is %v for %v", h.Name, f, d)
 }
 
 func (r *run) store() string {
-	troubles := map[string]metadata.Trouble{
+	troubles := map[string]metadata.Faults{
 		"down":   {Status: http.StatusServiceUnavailable},
 		"busy":   {Status: http.StatusTooManyRequests},
-		"cut":    {Reset: true},
-		"silent": {Silent: true},
+		"cut":    {ResetConnections: true},
+		"silent": {NoAnswers: true},
 		"slow":   {Delay: 250 * time.Millisecond},
-		"deaf":   {Deaf: true},
+		"deaf":   {HideEvents: true},
 	}
 	names := []string{"down", "busy", "cut", "silent", "slow", "deaf"}
 	name, d := names[r.rng.IntN(len(names))], r.duration()
-	r.w.Store.SetTrouble(troubles[name])
+	r.w.Store.SetFaults(troubles[name])
 	time.AfterFunc(d, func() {
 		if name == "deaf" {
-			r.w.Store.Forget()
+			r.w.Store.DropHistory()
 		}
-		r.w.Store.SetTrouble(metadata.Trouble{})
+		r.w.Store.SetFaults(metadata.Faults{})
 	})
 	return fmt.Sprintf("the store is %s for %v", name, d)
 }
 
 func (r *run) forget() string {
-	r.w.Store.Forget()
+	r.w.Store.DropHistory()
 	return "the store forgets its history"
 }
 
@@ -182,7 +182,7 @@
 
 func (r *run) upstreamCut() string {
 	d := r.duration()
-	if !r.w.CutServer(d) {
+	if !r.w.CutUpstream(d) {
 		return ""
 	}
 	return fmt.Sprintf("an upstream hears no host for %v", d)
@@ -190,8 +190,8 @@
 
 // grow makes a bundle that is large on a thin link, after some times.
 func (r *run) grow() string {
-	if r.w.Grow(grownRoutes) > maxGrown {
-		r.w.Grow(-maxGrown)
+	if r.w.AddIdleRoutes(grownRoutes) > maxGrown {
+		r.w.AddIdleRoutes(-maxGrown)
 	}
 	r.w.Roll()
 	return "next version, of another size"
@@ -207,20 +207,20 @@
 // thinLink gives a host the thinnest link that users have, 10 Mbit/s.
 func (r *run) thinLink() string {
 	h, d := r.w.Hosts[r.host()], r.duration()
-	r.w.ThinLink(h, 10e6/8)
-	time.AfterFunc(d, func() { r.w.WideLink(h) })
+	r.w.LimitLink(h, 10e6/8)
+	time.AfterFunc(d, func() { r.w.UnlimitLink(h) })
 	return fmt.Sprintf("%s has a link of 10 Mbit/s for %v", h.Name, d)
 }
 
 func (r *run) drain() string {
-	if !r.w.DrainServer() {
+	if !r.w.DrainUpstream() {
 		return ""
 	}
 	return "an upstream drains and leaves"
 }
 
 func (r *run) crash(reuse bool) string {
-	if !r.w.CrashServer(reuse) {
+	if !r.w.CrashUpstream(reuse) {
 		return ""
 	}
 	return fmt.Sprintf("an upstream crashes, address used again: %v", reuse)
@@ -228,7 +228,7 @@
 
 func (r *run) restart() string {
 	d := time.Duration(r.rng.Int64N(int64(maxFault)))
-	if !r.w.RestartServer(d) {
+	if !r.w.RestartUpstream(d) {
 		return ""
 	}
 	return fmt.Sprintf("an upstream crashes and starts again after %v", d)
@@ -248,7 +248,7 @@
 func (r *run) add() string {
 	services := []string{world.ServiceFeed, world.ServiceSheets}
 	h := r.w.Hosts[r.host()]
-	if err := r.w.AddServer(services[r.rng.IntN(len(services))], h.Zone, r.none); err != nil {
+	if err := r.w.AddUpstream(services[r.rng.IntN(len(services))], h.Zone, r.none); err != nil {
 		return ""
 	}
 	return "an upstream joins in " + h.Zone
@@ -264,6 +264,6 @@
 		return ""
 	}
 	d := evacuationFor + r.duration()
-	time.AfterFunc(d, func() { r.w.TakeBack(zone) })
+	time.AfterFunc(d, func() { r.w.EndEvacuation(zone) })
 	return fmt.Sprintf("%s is evacuated for %v", zone, d)
 }
--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -92,12 +92,12 @@
 		defer close(injected)
 		r.inject(work, c)
 	}()
-	tallies, err := r.w.Work(work)
+	tallies, err := r.w.RunCallers(work)
 	<-injected
 	if err != nil {
 		return nil, err
 	}
-	o := &outcome{broken: r.w.Finish(), plot: plot(tallies, r.began)}
+	o := &outcome{broken: r.w.Violations(), plot: plot(tallies, r.began)}
 	var last []flows.Outcome
 	for i := range tallies {
 		t := &tallies[i]
@@ -148,7 +148,7 @@
 			continue
 		}
 		if !f.planned {
-			r.w.Disturbed(maxFault)
+			r.w.MarkUnstable(maxFault)
 		}
 		r.plan = append(r.plan, fmt.Sprintf("%s %s: %s", time.Now().Format("15:04:05.000"), f.name, what))
 	}
--- a/cmd/try/cookie.go
+++ b/cmd/try/cookie.go
@@ -53,7 +53,7 @@
 	work, end := context.WithTimeout(ctx, time.Duration(c.Seconds)*time.Second)
 	defer end()
 	startCookieFailures(work, failures, w, procs)
-	tallies, err := w.Work(work)
+	tallies, err := w.RunCallers(work)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 
 // judgeCookie prints what callers saw, and returns an error if a promise was broken.
 func (c *runCommand) judgeCookie(w *world.World, tallies []flows.Tally) error {
-	broken := w.Finish()
+	broken := w.Violations()
 	requests, answered, opened := 0, 0, 0
 	for i := range tallies {
 		requests += tallies[i].Requests
@@ -71,7 +71,7 @@
 		broken = append(broken, tallies[i].Broken...)
 	}
 	fmt.Printf("%d balancers: %d of %d requests answered over %d flows, %d broken promises, %d calls of the store\n",
-		c.Balancers, answered, requests, opened, len(broken), w.Store.Calls())
+		c.Balancers, answered, requests, opened, len(broken), w.Store.CallCount())
 	for _, b := range broken {
 		fmt.Println("broken:", b)
 	}
--- a/cmd/try/cookiefailure.go
+++ b/cmd/try/cookiefailure.go
@@ -42,22 +42,22 @@
 func restoreStore(w *world.World, _ []*world.Process) {
 	restore := w.Store.Snapshot()
 	for range lostWrites {
-		w.Rewrite()
+		w.RewriteBundle()
 	}
-	w.Disturbed(2 * storeAway)
+	w.MarkUnstable(2 * storeAway)
 	// The balancers must have heard what is lost.
 	time.AfterFunc(storeAway, func() { w.RestoreStore(restore, storeAway) })
 }
 
-func drainServer(w *world.World, _ []*world.Process) { w.DrainServer() }
+func drainServer(w *world.World, _ []*world.Process) { w.DrainUpstream() }
 
 func killBalancer(w *world.World, procs []*world.Process) {
-	w.Disturbed(storeAway)
+	w.MarkUnstable(storeAway)
 	procs[0].Signal(syscall.SIGKILL)
 }
 
 func cutZone(w *world.World, _ []*world.Process) {
-	w.Disturbed(cutFor)
+	w.MarkUnstable(cutFor)
 	w.CutZone(w.Hosts[0].Zone, cutFor)
 }
 
--- a/cmd/try/process.go
+++ b/cmd/try/process.go
@@ -59,10 +59,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if params == nil {
-		params = jsonrpc.None{}
+		params = jsonrpc.Empty{}
 	}
 	if result == nil {
-		result = &jsonrpc.None{}
+		result = &jsonrpc.Empty{}
 	}
 	return eris.Wrap(s.rpc.Call(ctx, method, params, result), s.name)
 }
--- a/cmd/try/standin.go
+++ b/cmd/try/standin.go
@@ -51,8 +51,8 @@
 		return err
 	}
 	defer stop()
-	methods[methodReady] = jsonrpc.Typed(func(context.Context, jsonrpc.None) (jsonrpc.None, error) {
-		return jsonrpc.None{}, nil
+	methods[methodReady] = jsonrpc.Typed(func(context.Context, jsonrpc.Empty) (jsonrpc.Empty, error) {
+		return jsonrpc.Empty{}, nil
 	})
 	jsonrpc.Serve(ctx, os.Stdin, os.Stdout, methods)
 	return nil
@@ -65,15 +65,15 @@
 
 // set makes a method of a function that returns nothing.
 func set[P any](f func(P)) jsonrpc.Method {
-	return jsonrpc.Typed(func(_ context.Context, p P) (jsonrpc.None, error) {
+	return jsonrpc.Typed(func(_ context.Context, p P) (jsonrpc.Empty, error) {
 		f(p)
-		return jsonrpc.None{}, nil
+		return jsonrpc.Empty{}, nil
 	})
 }
 
 // get makes a method of a function without parameters.
 func get[R any](f func() R) jsonrpc.Method {
-	return jsonrpc.Typed(func(context.Context, jsonrpc.None) (R, error) { return f(), nil })
+	return jsonrpc.Typed(func(context.Context, jsonrpc.Empty) (R, error) { return f(), nil })
 }
 
 type platformConfig struct {
--- a/internal/process/carrier/carrier_test.go
+++ b/internal/process/carrier/carrier_test.go
@@ -110,7 +110,7 @@
 		Eventually(w.Router.InRotation, maxWait).Should(Equal(3))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		tallies, err := w.Work(ctx)
+		tallies, err := w.RunCallers(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		answered := 0
 		for _, t := range tallies {
@@ -118,7 +118,7 @@
 			answered += t.Answered
 		}
 		Expect(answered).To(BeNumerically(">", 0))
-		Expect(w.Finish()).To(BeEmpty())
+		Expect(w.Violations()).To(BeEmpty())
 	})
 
 	// Guards against a bundle that drops a service's route but reaches the other daemons only after
@@ -132,7 +132,7 @@
 		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		for _, n := range nodes {
 			if n.ReadsStore() {
-				n.host.Proxy.Set(world.LinkSilent)
+				n.host.StoreProxy.SetFault(world.LinkBlackhole)
 			}
 		}
 		Eventually(inForce(nodes, w.Roll()), maxWait).Should(BeTrue())
@@ -146,7 +146,7 @@
 		cut := 0
 		for _, n := range nodes {
 			if n.host.Zone == w.Hosts[0].Zone {
-				n.host.Proxy.Set(world.LinkSilent)
+				n.host.StoreProxy.SetFault(world.LinkBlackhole)
 				cut++
 			}
 		}
@@ -160,7 +160,7 @@
 	// Guards against a host that starts its list again after each refusal and is never ready.
 	It("become ready while the store refuses most calls", func() {
 		w := newWorld(3)
-		w.Store.SetTrouble(metadata.Trouble{ServeOneOf: 4})
+		w.Store.SetFaults(metadata.Faults{ServeOneOf: 4})
 		for _, h := range w.Hosts {
 			n := startNode(w, h)
 			Eventually(n.Ready, maxWait).Should(BeTrue())
@@ -174,9 +174,9 @@
 	It("complete a list while the store refuses most calls", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		w.Store.SetTrouble(metadata.Trouble{ServeOneOf: 4, Deaf: true})
-		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
-		w.Store.Forget()
+		w.Store.SetFaults(metadata.Faults{ServeOneOf: 4, HideEvents: true})
+		Expect(w.AddUpstream(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
+		w.Store.DropHistory()
 		for _, n := range nodes {
 			Eventually(n.Upstreams, maxWait).Should(Equal(13))
 		}
@@ -186,8 +186,8 @@
 	// and another has joined. Guards against flows to the departed one, which are never answered.
 	It("have the changes that a lagging store replica lacks before they are ready", func() {
 		w := newWorld(3)
-		w.Store.Lag()
-		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
+		w.Store.FreezeStaleReads()
+		Expect(w.AddUpstream(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		n := startNode(w, w.Hosts[0])
 		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(13))
@@ -197,9 +197,9 @@
 	// lists from the replica again and again and is never ready.
 	It("become ready when the store has no history back to its lagging replica", func() {
 		w := newWorld(3)
-		w.Store.Lag()
-		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
-		w.Store.Forget()
+		w.Store.FreezeStaleReads()
+		Expect(w.AddUpstream(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
+		w.Store.DropHistory()
 		n := startNode(w, w.Hosts[0])
 		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(13))
@@ -214,7 +214,7 @@
 		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(12))
 		w.Store.Put(wire.KindServers, "i-0000000002", "neither can this")
-		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
+		Expect(w.AddUpstream(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		Eventually(n.Upstreams, maxWait).Should(Equal(13))
 	})
 
@@ -274,9 +274,9 @@
 	It("drop first packets that waited too long", func() {
 		w := newWorld(3)
 		h := w.Hosts[0]
-		h.Proxy.Set(world.LinkReset)
+		h.StoreProxy.SetFault(world.LinkReset)
 		n := startNode(w, h)
-		first := metadata.Segments{}.Encode(&flows.Segment{
+		first := metadata.SegmentCodec{}.Encode(&flows.Segment{
 			From: netip.MustParseAddrPort("127.1.9.9:1024"), To: netip.MustParseAddrPort("198.18.0.1:443"), Flags: cookie.FlagSYN,
 		})
 		conn, err := net.Dial("udp4", w.DataAddress(h).String())
@@ -285,7 +285,7 @@
 		_, err = conn.Write(first)
 		Expect(err).NotTo(HaveOccurred())
 		time.Sleep(500 * time.Millisecond)
-		h.Proxy.Set(world.LinkGood)
+		h.StoreProxy.SetFault(world.LinkOK)
 		Eventually(func() string { return metricsOf(n) }, maxWait).Should(
 			ContainSubstring(`fescueshed_packets_dropped_total{cause="StaleOpen"} 1`))
 	})
@@ -295,10 +295,10 @@
 	It("put a bundle in force when the store's watches missed it", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		w.Store.SetTrouble(metadata.Trouble{Deaf: true})
+		w.Store.SetFaults(metadata.Faults{HideEvents: true})
 		v := w.Roll()
-		w.Store.Forget()
-		w.Store.SetTrouble(metadata.Trouble{})
+		w.Store.DropHistory()
+		w.Store.SetFaults(metadata.Faults{})
 		Eventually(inForce(nodes, v), maxWait).Should(BeTrue())
 	})
 
@@ -306,7 +306,7 @@
 	// against a host that never becomes ready, so that routers wait for it forever.
 	It("become ready by other balancers' catalogs if the store rejects them", func() {
 		w := newWorld(4)
-		w.Hosts[3].Proxy.Set(world.LinkReset)
+		w.Hosts[3].StoreProxy.SetFault(world.LinkReset)
 		nodes := make([]*node, 0, 3)
 		for _, h := range w.Hosts[:3] {
 			nodes = append(nodes, startNode(w, h))
@@ -325,9 +325,9 @@
 			w := newWorld(hosts)
 			nodes := startAll(w)
 			Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
-			before := w.Store.Calls()
+			before := w.Store.CallCount()
 			time.Sleep(2 * time.Second)
-			return w.Store.Calls() - before
+			return w.Store.CallCount() - before
 		}
 		// One watch of each of three kinds, which waits 800 ms: at most three of each begin in two
 		// seconds. A slower machine makes fewer calls, not more.
--- a/internal/process/carrier/evacuation_test.go
+++ b/internal/process/carrier/evacuation_test.go
@@ -37,12 +37,12 @@
 		w.Evacuate("zone-2")
 		Eventually(evacuatedAt(nodes, "zone-2"), maxWait).Should(BeTrue())
 		w.Evacuate("zone-1")
-		w.TakeBack("zone-2")
+		w.EndEvacuation("zone-2")
 		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
 		Eventually(w.Router.InRotation, maxWait).Should(Equal(6))
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		tallies, err := w.Work(ctx)
+		tallies, err := w.RunCallers(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		for _, t := range tallies {
 			Expect(t.Broken).To(BeEmpty())
@@ -54,7 +54,7 @@
 			Expect(n.Status().Evacuated[0].Since.IsZero()).To(BeFalse())
 			Expect(metricsOf(n)).To(ContainSubstring(`fescueshed_zone_evacuated{zone="zone-1"} 1`))
 		}
-		w.TakeBack("zone-1")
+		w.EndEvacuation("zone-1")
 		Eventually(evacuatedAt(nodes), maxWait).Should(BeTrue())
 	})
 
@@ -66,7 +66,7 @@
 		w.Evacuate("zone-3")
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		h.Proxy.Set(world.LinkSilent)
+		h.StoreProxy.SetFault(world.LinkBlackhole)
 		n := startNode(w, h)
 		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Eventually(n.Evacuated, maxWait).Should(Equal([]bundle.Zone{"zone-3"}))
@@ -87,7 +87,7 @@
 		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		for _, n := range nodes {
 			if n.ReadsStore() {
-				n.host.Proxy.Set(world.LinkSilent)
+				n.host.StoreProxy.SetFault(world.LinkBlackhole)
 			}
 		}
 		w.Evacuate("zone-1")
@@ -105,10 +105,10 @@
 	It("receive the evacuation when the store's watches missed it and its history is dropped", func() {
 		w := newWorld(3)
 		nodes := startAll(w)
-		w.Store.SetTrouble(metadata.Trouble{Deaf: true})
+		w.Store.SetFaults(metadata.Faults{HideEvents: true})
 		w.Evacuate("zone-1")
-		w.Store.Forget()
-		w.Store.SetTrouble(metadata.Trouble{})
+		w.Store.DropHistory()
+		w.Store.SetFaults(metadata.Faults{})
 		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
 	})
 
@@ -117,7 +117,7 @@
 		nodes := startAll(w)
 		w.Evacuate("zone-1")
 		Eventually(evacuatedAt(nodes, "zone-1"), maxWait).Should(BeTrue())
-		w.Store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
+		w.Store.SetFaults(metadata.Faults{Status: http.StatusServiceUnavailable})
 		h, err := w.AddHost(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		late := startNode(w, h)
--- a/internal/process/carrier/large_test.go
+++ b/internal/process/carrier/large_test.go
@@ -33,7 +33,7 @@
 // store.
 func incompressibleWorld(t *testing.T, hosts int) *world.World {
 	t.Helper()
-	return openWorld(t, world.Options{Seed: 1, Hosts: hosts, Upstreams: 3, UnlikeRoutes: true})
+	return openWorld(t, world.Options{Seed: 1, Hosts: hosts, Upstreams: 3, IncompressibleRoutes: true})
 }
 
 // largePair starts two daemons, of which the second is small and relies on the first, and waits
@@ -84,8 +84,8 @@
 	g := NewWithT(t)
 	w := incompressibleWorld(t, 2)
 	large, small := largePair(t, w)
-	w.ThinLink(w.Hosts[1], slowLink)
-	w.Grow(manyRoutes)
+	w.LimitLink(w.Hosts[1], slowLink)
+	w.AddIdleRoutes(manyRoutes)
 	v := w.Roll()
 	g.Eventually(large.Version, maxWait).Should(Equal(v))
 	g.Eventually(small.Version, maxWait).Should(Equal(v))
@@ -96,10 +96,10 @@
 func TestLargeBundleIsReadFromStoreAtStartOverSlowLink(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 1)
-	w.Grow(manyRoutes)
+	w.AddIdleRoutes(manyRoutes)
 	w.Roll()
 	w.Hosts[0].Seeds = unusedSeeds
-	w.ThinLink(w.Hosts[0], slowLink)
+	w.LimitLink(w.Hosts[0], slowLink)
 	n := openNode(t, w, w.Hosts[0])
 	g.Eventually(n.Ready, maxWait).Should(BeTrue())
 }
@@ -110,12 +110,12 @@
 func TestLargeBundleIsFetchedFromMemberAtStartOverSlowLink(t *testing.T) {
 	g := NewWithT(t)
 	w := incompressibleWorld(t, 2)
-	w.Grow(manyRoutes)
+	w.AddIdleRoutes(manyRoutes)
 	v := w.Roll()
 	large := openNode(t, w, w.Hosts[0])
 	g.Eventually(large.Ready, maxWait).Should(BeTrue())
-	w.ThinLink(w.Hosts[1], slowLink)
-	w.Hosts[1].Proxy.Set(world.LinkSilent)
+	w.LimitLink(w.Hosts[1], slowLink)
+	w.Hosts[1].StoreProxy.SetFault(world.LinkBlackhole)
 	small := openNode(t, w, w.Hosts[1])
 	g.Eventually(small.Ready, maxWait).Should(BeTrue())
 	g.Expect(small.Version()).To(Equal(v))
@@ -128,7 +128,7 @@
 func TestLargeBundleTakesEffectWhenWatchAnswerIsTooLarge(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 1)
-	w.Grow(manyRoutes)
+	w.AddIdleRoutes(manyRoutes)
 	w.Roll()
 	n := openNode(t, w, w.Hosts[0])
 	g.Eventually(n.Ready, maxWait).Should(BeTrue())
@@ -137,14 +137,14 @@
 	// A daemon that has just started lists, whatever it holds. After these calls it follows by
 	// watches.
 	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, maxWait).Should(BeNumerically(">=", 10))
-	w.Store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
+	w.Store.SetFaults(metadata.Faults{Status: http.StatusServiceUnavailable})
 	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_refused_total") }, maxWait).Should(BeNumerically(">=", 2))
 	v := w.Roll()
 	for range 10 {
 		v = w.Roll()
 	}
 	before := n.metric(t, answers)
-	w.Store.SetTrouble(metadata.Trouble{})
+	w.Store.SetFaults(metadata.Faults{})
 	g.Eventually(n.Version, maxWait).Should(Equal(v))
 	g.Expect(n.metric(t, answers)-before).To(BeNumerically("<=", 2*once), "a list returns the bundle once")
 }
@@ -158,7 +158,7 @@
 func TestLargeBundleIsSentAsUpdate(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 2)
-	w.Grow(manyRoutes)
+	w.AddIdleRoutes(manyRoutes)
 	w.Roll()
 	_, small := largePair(t, w)
 	before := small.metric(t, "fescueshed_catalogs_bytes_total") + small.metric(t, "fescueshed_store_answers_bytes_total")
@@ -175,11 +175,11 @@
 func TestLargeBundleIsNotRelistedOnReaderTakeover(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 2)
-	w.Grow(manyRoutes)
+	w.AddIdleRoutes(manyRoutes)
 	w.Roll()
 	_, small := largePair(t, w)
 	before := small.metric(t, "fescueshed_store_answers_bytes_total")
-	w.Hosts[0].Proxy.Set(world.LinkSilent)
+	w.Hosts[0].StoreProxy.SetFault(world.LinkBlackhole)
 	calls := small.metric(t, "fescueshed_store_calls_total")
 	g.Eventually(small.ReadsStore, maxWait).Should(BeTrue())
 	made := func() int { return small.metric(t, "fescueshed_store_calls_total") - calls }
@@ -194,14 +194,14 @@
 func TestBundleWithReusedVersionIsSentWhole(t *testing.T) {
 	g := NewWithT(t)
 	w := largeWorld(t, 2)
-	w.Grow(manyRoutes)
+	w.AddIdleRoutes(manyRoutes)
 	w.Roll()
 	w.Hosts[1].CPUShare = 0.1
 	small := openNode(t, w, w.Hosts[1])
 	g.Eventually(small.Ready, maxWait).Should(BeTrue())
-	w.Hosts[1].Proxy.Set(world.LinkSilent)
-	w.Grow(5)
-	w.Rewrite()
+	w.Hosts[1].StoreProxy.SetFault(world.LinkBlackhole)
+	w.AddIdleRoutes(5)
+	w.RewriteBundle()
 	w.Hosts[0].Seeds = unusedSeeds // It reads the store before it knows the other daemon.
 	large := openNode(t, w, w.Hosts[0])
 	g.Eventually(large.Ready, maxWait).Should(BeTrue())
@@ -228,7 +228,7 @@
 	n := openNode(t, w, w.Hosts[0])
 	g.Eventually(n.Ready, maxWait).Should(BeTrue())
 	g.Eventually(func() int { return n.metric(t, "fescueshed_store_calls_total") }, maxWait).Should(BeNumerically(">=", 10))
-	w.Store.SetTrouble(metadata.Trouble{SlowEvents: 2 * time.Second})
+	w.Store.SetFaults(metadata.Faults{SlowEvents: 2 * time.Second})
 	v := w.Roll()
 	g.Eventually(n.Version, maxWait).Should(Equal(v))
 }
--- a/internal/process/carrier/region_test.go
+++ b/internal/process/carrier/region_test.go
@@ -33,10 +33,10 @@
 		n := startNode(w, h)
 		Eventually(n.Ready, maxWait).Should(BeTrue())
 		before := n.Version()
-		w.Store.Accept(before+1, boundBundle("suoth"))
+		w.Store.PutBundle(before+1, boundBundle("suoth"))
 		// A daemon without others begins to follow the store a second after its start.
 		Consistently(n.Version, 3*time.Second).Should(Equal(before))
-		w.Store.Accept(before+2, boundBundle("south"))
+		w.Store.PutBundle(before+2, boundBundle("south"))
 		Eventually(n.Version, maxWait).Should(Equal(before + 2))
 	})
 })
--- a/internal/process/carrier/restored_test.go
+++ b/internal/process/carrier/restored_test.go
@@ -39,7 +39,7 @@
 	g := NewWithT(t)
 	restore := w.Store.Snapshot()
 	for range lostWrites {
-		w.Rewrite()
+		w.RewriteBundle()
 	}
 	for _, n := range nodes {
 		for _, kind := range []string{"Bundles", "Registrations"} {
@@ -57,7 +57,7 @@
 	w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 	nodes := openAll(t, w)
 	restoreStore(t, w, nodes)
-	g.Expect(w.DrainServer()).To(BeTrue())
+	g.Expect(w.DrainUpstream()).To(BeTrue())
 	for _, n := range nodes {
 		g.Eventually(n.AvailableUpstreams, maxWait).Should(Equal(11))
 	}
@@ -81,7 +81,7 @@
 	w := openWorld(t, world.Options{Seed: 1, Hosts: 3, Upstreams: 12})
 	nodes := openAll(t, w)
 	restore := w.Store.Snapshot()
-	g.Expect(w.DrainServer()).To(BeTrue())
+	g.Expect(w.DrainUpstream()).To(BeTrue())
 	w.Evacuate("zone-2")
 	kept := func() bool {
 		for _, n := range nodes {
@@ -109,7 +109,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	nodes = append(nodes, openNode(t, w, h))
 	g.Eventually(kept, maxWait).Should(BeTrue(), "the others send them to a starting balancer")
-	w.WriteAgain(time.Second)
+	w.RewriteAll(time.Second)
 	time.Sleep(objects.RestoreGrace)
 	g.Consistently(kept, time.Second).Should(BeTrue(), "the store has them again")
 }
@@ -124,8 +124,8 @@
 	for _, n := range nodes {
 		g.Eventually(func() int { return n.metric(t, "fescueshed_store_epoch") }, maxWait).Should(Equal(1))
 	}
-	w.Store.SetTrouble(metadata.Trouble{Former: true})
-	g.Expect(w.DrainServer()).To(BeTrue())
+	w.Store.SetFaults(metadata.Faults{ServePreRestore: true})
+	g.Expect(w.DrainUpstream()).To(BeTrue())
 	outdated := func() int {
 		sum := 0
 		for _, n := range nodes {
@@ -138,7 +138,7 @@
 		age := func() int { return n.metric(t, `fescueshed_store_kind_age_seconds{kind="Registrations"}`) }
 		g.Eventually(age, maxWait).Should(BeNumerically(">", 3), "seconds since the list was known")
 	}
-	w.Store.SetTrouble(metadata.Trouble{})
+	w.Store.SetFaults(metadata.Faults{})
 	for _, n := range nodes {
 		g.Eventually(n.AvailableUpstreams, maxWait).Should(Equal(11))
 	}
@@ -149,13 +149,13 @@
 // the earlier epoch.
 func TestDrainIsAppliedDespiteFaultsDuringRestore(t *testing.T) {
 	for name, inject := range map[string]func(w *world.World, reader *node){
-		"the reader is cut off":       func(_ *world.World, reader *node) { reader.host.Proxy.Set(world.LinkSilent) },
+		"the reader is cut off":       func(_ *world.World, reader *node) { reader.host.StoreProxy.SetFault(world.LinkBlackhole) },
 		"the store is restored twice": func(w *world.World, _ *node) { w.Store.Snapshot()() },
 		"a zone is cut off from the others and the store": func(w *world.World, _ *node) {
 			h := w.Hosts[2]
-			h.Proxy.Set(world.LinkSilent)
+			h.StoreProxy.SetFault(world.LinkBlackhole)
 			w.CutZone(h.Zone, 2*time.Second)
-			time.AfterFunc(2*time.Second, func() { h.Proxy.Set(world.LinkGood) })
+			time.AfterFunc(2*time.Second, func() { h.StoreProxy.SetFault(world.LinkOK) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 			reader := nodes[slices.IndexFunc(nodes, func(n *node) bool { return n.ReadsStore() })]
 			restoreStore(t, w, nodes)
 			inject(w, reader)
-			g.Expect(w.DrainServer()).To(BeTrue())
+			g.Expect(w.DrainUpstream()).To(BeTrue())
 			for _, n := range nodes {
 				g.Eventually(n.AvailableUpstreams, maxWait).Should(Equal(11))
 			}
--- a/internal/process/carrier/start_test.go
+++ b/internal/process/carrier/start_test.go
@@ -50,7 +50,7 @@
 		w := newWorld(3)
 		startAll(w)
 		h := addHost(w)
-		h.Proxy.Set(world.LinkSilent)
+		h.StoreProxy.SetFault(world.LinkBlackhole)
 		n := startNode(w, h)
 		Eventually(n.Ready, maxWait).Should(BeTrue())
 		Expect(n.Upstreams()).To(Equal(12))
@@ -129,10 +129,10 @@
 		Eventually(func() int { return readers(nodes) }, maxWait).Should(Equal(1))
 		for _, n := range nodes {
 			if n.ReadsStore() {
-				n.host.Proxy.Set(world.LinkSilent)
+				n.host.StoreProxy.SetFault(world.LinkBlackhole)
 			}
 		}
-		Expect(w.AddServer(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
+		Expect(w.AddUpstream(world.ServiceFeed, w.Hosts[0].Zone, netip.AddrPort{})).To(Succeed())
 		for _, n := range nodes {
 			Eventually(n.Upstreams, maxWait).Should(Equal(13))
 		}
--- a/internal/standin/jsonrpc/jsonrpc.go
+++ b/internal/standin/jsonrpc/jsonrpc.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// None is the parameter or result of a call without one.
-type None struct{}
+// Empty is the parameter or result of a call without one.
+type Empty struct{}
 
 type pipe struct {
 	io.Reader
--- a/internal/standin/metadata/objects.go
+++ b/internal/standin/metadata/objects.go
@@ -23,17 +23,17 @@
 	})
 }
 
-// Spec returns an entry's content as it is stored.
-func Spec(s *wire.Server) string { return string(encode(s)) }
+// EncodeSpec returns an entry's content as it is stored.
+func EncodeSpec(s *wire.Server) string { return string(encode(s)) }
 
-// Lapse removes an upstream's entry.
-func (s *Store) Lapse(id bundle.UpstreamID) { s.Delete(wire.KindServers, EntryName(id)) }
+// Deregister removes an upstream's entry.
+func (s *Store) Deregister(id bundle.UpstreamID) { s.Delete(wire.KindServers, EntryName(id)) }
 
 // EntryName returns the name of an upstream's entry.
 func EntryName(id bundle.UpstreamID) string { return fmt.Sprintf("i-%010x", uint64(id)) }
 
-// Accept puts a bundle into the store as the configuration of a version.
-func (s *Store) Accept(v bundle.Version, b *bundle.Bundle) {
+// PutBundle puts a bundle into the store as the configuration of a version.
+func (s *Store) PutBundle(v bundle.Version, b *bundle.Bundle) {
 	c := &wire.Config{Version: uint64(v)}
 	for i := range b.Services {
 		o := &b.Services[i]
@@ -62,8 +62,8 @@
 	return out
 }
 
-// Health returns the handler of an upstream's health requests.
-func Health(id bundle.UpstreamID) http.Handler {
+// HealthHandler returns the handler of an upstream's health requests.
+func HealthHandler(id bundle.UpstreamID) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(wire.HeaderUpstreamID, EntryName(id))
 	})
--- a/internal/standin/metadata/packets.go
+++ b/internal/standin/metadata/packets.go
@@ -12,12 +12,12 @@
 	"github.com/fescueshed/fescueshed/platform"
 )
 
-// Segments is the codec of what the two ends of a flow send. It implements
+// SegmentCodec is the codec of what the two ends of a flow send. It implements
 // flows.Codec.
-type Segments struct{ packets platform.Packets }
+type SegmentCodec struct{ packets platform.Packets }
 
 // Encode implements flows.Codec.
-func (s Segments) Encode(g *flows.Segment) []byte {
+func (s SegmentCodec) Encode(g *flows.Segment) []byte {
 	return s.packets.Encode(&cookie.Packet{
 		Key: cookie.Key{
 			CallerIP: g.From.Addr().As4(), CallerPort: g.From.Port(),
@@ -28,7 +28,7 @@
 }
 
 // Decode implements flows.Codec.
-func (s Segments) Decode(b []byte) (*flows.Segment, error) {
+func (s SegmentCodec) Decode(b []byte) (*flows.Segment, error) {
 	var p cookie.Packet
 	if err := s.packets.Decode(b, &p); err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 }
 
 // DecodeAtUpstream implements flows.Codec.
-func (s Segments) DecodeAtUpstream(b []byte) (bundle.UpstreamID, *flows.Segment, error) {
+func (s SegmentCodec) DecodeAtUpstream(b []byte) (bundle.UpstreamID, *flows.Segment, error) {
 	n := s.packets.Headroom()
 	if len(b) < n {
 		return 0, nil, cookie.ErrMalformed
--- a/internal/standin/metadata/store.go
+++ b/internal/standin/metadata/store.go
@@ -16,27 +16,27 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// Trouble is what the store does wrong. The zero value is nothing.
-type Trouble struct {
+// Faults is what the store does wrong. The zero value is nothing.
+type Faults struct {
 	// Status refuses every call with it, if it isn't zero.
 	Status int
-	// Reset cuts every connection, Silent never answers.
-	Reset, Silent bool
+	// ResetConnections cuts every connection, NoAnswers never answers.
+	ResetConnections, NoAnswers bool
 	// Delay holds each answer back.
 	Delay time.Duration
 	// SlowEvents holds answers of watches back that bring events, as a store does that takes long
 	// to put a large answer together.
 	SlowEvents time.Duration
-	// Deaf makes watches hear nothing.
-	Deaf bool
-	// Former answers lists and watches with what the store held before it was restored from a snapshot, as a member of it
+	// HideEvents makes watches hear nothing.
+	HideEvents bool
+	// ServePreRestore answers lists and watches with what the store held before it was restored from a snapshot, as a member of it
 	// does that lags behind the others.
-	Former bool
+	ServePreRestore bool
 	// ServeOneOf refuses all but one of so many calls for want of a rate, if it is more
 	// than one. Stale reads don't count.
 	ServeOneOf int
-	// Only restricts the trouble to calls from these addresses, if there are any.
-	Only []netip.Addr
+	// OnlyFrom restricts the trouble to calls from these addresses, if there are any.
+	OnlyFrom []netip.Addr
 }
 
 // Store is a metadata store behind an HTTP handler. It is safe for concurrent use.
@@ -50,7 +50,7 @@
 	// forgotten is the revision up to which the history is gone.
 	forgotten uint64
 	changed   chan struct{}
-	trouble   Trouble
+	trouble   Faults
 	calls     int
 	// stale is what stale reads see, nil if they see all. former is what was there before the last return.
 	stale, former *copied
@@ -89,15 +89,15 @@
 	}
 }
 
-// SetTrouble replaces the trouble.
-func (s *Store) SetTrouble(t Trouble) {
+// SetFaults replaces the trouble.
+func (s *Store) SetFaults(t Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble = t
 }
 
-// Lag makes stale reads see the present content from now on, whatever changes.
-func (s *Store) Lag() {
+// FreezeStaleReads makes stale reads see the present content from now on, whatever changes.
+func (s *Store) FreezeStaleReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = s.copy()
@@ -149,8 +149,8 @@
 	return s.revision
 }
 
-// Calls returns how often the store was called.
-func (s *Store) Calls() int {
+// CallCount returns how often the store was called.
+func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -163,8 +163,8 @@
 	s.put(kind, name, encode(spec))
 }
 
-// PutForeign replaces an object, as a whole, by what another writer makes of its revision.
-func (s *Store) PutForeign(kind, name string, body func(revision uint64) string) {
+// PutRaw replaces an object, as a whole, by what another writer makes of its revision.
+func (s *Store) PutRaw(kind, name string, body func(revision uint64) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(kind, name, jsontext.Value("null"))
@@ -226,8 +226,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history: whoever watches from before must list again.
-func (s *Store) Forget() {
+// DropHistory drops the history: whoever watches from before must list again.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = s.revision
@@ -242,9 +242,9 @@
 	t := s.troubleFor(r)
 	tellEpoch(w, s.Epoch())
 	switch {
-	case t.Reset:
+	case t.ResetConnections:
 		panic(http.ErrAbortHandler)
-	case t.Silent:
+	case t.NoAnswers:
 		<-r.Context().Done()
 		return
 	case t.Status != 0:
@@ -253,7 +253,7 @@
 	}
 	q := r.URL.Query()
 	stale := q.Has(wire.QueryStale)
-	if t.ServeOneOf > 1 && !stale && s.Calls()%t.ServeOneOf != 0 {
+	if t.ServeOneOf > 1 && !stale && s.CallCount()%t.ServeOneOf != 0 {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
@@ -291,16 +291,16 @@
 }
 
 // troubleFor returns the trouble that a call meets.
-func (s *Store) troubleFor(r *http.Request) Trouble {
+func (s *Store) troubleFor(r *http.Request) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.trouble
-	if len(t.Only) == 0 {
+	if len(t.OnlyFrom) == 0 {
 		return t
 	}
 	from, err := netip.ParseAddrPort(r.RemoteAddr)
-	if err != nil || !slices.Contains(t.Only, from.Addr()) {
-		return Trouble{}
+	if err != nil || !slices.Contains(t.OnlyFrom, from.Addr()) {
+		return Faults{}
 	}
 	return t
 }
@@ -340,7 +340,7 @@
 	s.mu.Lock()
 	from := &copied{objects: s.objects, revision: s.revision, epoch: s.epoch}
 	switch {
-	case s.trouble.Former && s.former != nil:
+	case s.trouble.ServePreRestore && s.former != nil:
 		from = s.former
 	case stale && s.stale != nil:
 		from = s.stale
@@ -397,7 +397,7 @@
 func (s *Store) since(w http.ResponseWriter, kind string, from uint64) (*wire.Page, bool, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.trouble.Former && s.former != nil {
+	if s.trouble.ServePreRestore && s.former != nil {
 		tellEpoch(w, s.former.epoch)
 		return &wire.Page{AsOf: s.former.revision}, false, s.changed
 	}
@@ -405,7 +405,7 @@
 	if from < s.forgotten || from > s.revision {
 		return nil, true, nil
 	}
-	if s.trouble.Deaf {
+	if s.trouble.HideEvents {
 		return &wire.Page{AsOf: from}, false, s.changed
 	}
 	p := &wire.Page{AsOf: s.revision}
--- a/internal/standin/world/bundles.go
+++ b/internal/standin/world/bundles.go
@@ -22,9 +22,9 @@
 	return w.version
 }
 
-// Rewrite accepts the version in force once more, with what Grow has added since, as a store does
+// RewriteBundle accepts the version in force once more, with what AddIdleRoutes has added since, as a store does
 // that was restored from a copy.
-func (w *World) Rewrite() {
+func (w *World) RewriteBundle() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.accept()
@@ -47,7 +47,7 @@
 			IdleTimeout: bundle.Duration(idleTimeout),
 		})
 	}
-	w.Store.Accept(w.version, b)
+	w.Store.PutBundle(w.version, b)
 }
 
 // unlikeBytes is how many bytes of a name don't compress.
@@ -56,7 +56,7 @@
 // idleName returns the name of a route that no caller uses, the same in each version.
 func (w *World) idleName(i int) string {
 	name := fmt.Sprint("idle-", i)
-	if !w.opts.UnlikeRoutes {
+	if !w.opts.IncompressibleRoutes {
 		return name
 	}
 	random := make([]byte, unlikeBytes)
@@ -67,9 +67,9 @@
 	return name + "-" + hex.EncodeToString(random)
 }
 
-// Grow adds routes that no caller uses to the next versions of the bundle, or takes some away. It
+// AddIdleRoutes adds routes that no caller uses to the next versions of the bundle, or takes some away. It
 // returns how many there are then.
-func (w *World) Grow(routes int) int {
+func (w *World) AddIdleRoutes(routes int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.idleRoutes += routes
--- a/internal/standin/world/callers.go
+++ b/internal/standin/world/callers.go
@@ -14,8 +14,8 @@
 // callerRetries is how often callers repeat a request that may be repeated.
 const callerRetries = 2
 
-// Work lets all callers make requests until ctx ends and returns what they saw.
-func (w *World) Work(ctx context.Context) ([]flows.Tally, error) {
+// RunCallers lets all callers make requests until ctx ends and returns what they saw.
+func (w *World) RunCallers(ctx context.Context) ([]flows.Tally, error) {
 	var wg sync.WaitGroup
 	tallies := make([]flows.Tally, w.opts.Callers)
 	for i := range tallies {
@@ -36,8 +36,8 @@
 	o := flows.CallerOptions{
 		IP: netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i + 1)}), Port: w.ports.Data,
 		Idempotent: i%3 != 0, Period: callerPeriod, Deadline: callerDeadline, Retries: callerRetries,
-		Router: w.Router, Codec: metadata.Segments{}, Rng: rand.New(rand.NewPCG(w.opts.Seed, uint64(i))),
-		Judge: w.Judge,
+		Router: w.Router, Codec: metadata.SegmentCodec{}, Rng: rand.New(rand.NewPCG(w.opts.Seed, uint64(i))),
+		Judge: w.MayReset,
 	}
 	switch i % 4 {
 	case 0, 1:
@@ -45,7 +45,7 @@
 	case 2:
 		o.Service, o.Serves = sheetsAt, only(ServiceSheets)
 	case 3:
-		o.Service, o.Serves, o.Fresh = switchAt, w.Serves, true
+		o.Service, o.Serves, o.Fresh = switchAt, w.MayServe, true
 	}
 	return o
 }
--- a/internal/standin/world/cut.go
+++ b/internal/standin/world/cut.go
@@ -16,13 +16,13 @@
 	// heard. Numbers count cuts that overlap.
 	cutZones   map[string]int
 	deaf, mute map[netip.Addr]int
-	servers    map[*Server]int
+	servers    map[*Upstream]int
 }
 
 func newCuts() *cuts {
 	return &cuts{
 		zones: make(map[netip.Addr]string), cutZones: make(map[string]int),
-		deaf: make(map[netip.Addr]int), mute: make(map[netip.Addr]int), servers: make(map[*Server]int),
+		deaf: make(map[netip.Addr]int), mute: make(map[netip.Addr]int), servers: make(map[*Upstream]int),
 	}
 }
 
@@ -39,7 +39,7 @@
 }
 
 // toServer returns which senders an upstream doesn't hear.
-func (c *cuts) toServer(s *Server) func(from netip.Addr) bool {
+func (c *cuts) toServer(s *Upstream) func(from netip.Addr) bool {
 	return func(from netip.Addr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// CutServer cuts an upstream off from all hosts for a time. It goes on sending.
-func (w *World) CutServer(d time.Duration) bool {
+// CutUpstream cuts an upstream off from all hosts for a time. It goes on sending.
+func (w *World) CutUpstream(d time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.pick()
@@ -95,7 +95,7 @@
 }
 
 // harm notes that the upstream's links are cut for a time. w.mu is held.
-func (s *Server) harm(d time.Duration) {
+func (s *Upstream) harm(d time.Duration) {
 	if until := time.Now().Add(d); until.After(s.harmed) {
 		s.harmed = until
 	}
--- a/internal/standin/world/evacuation.go
+++ b/internal/standin/world/evacuation.go
@@ -31,8 +31,8 @@
 	return true
 }
 
-// TakeBack lets new flows enter a zone again.
-func (w *World) TakeBack(zone string) {
+// EndEvacuation lets new flows enter a zone again.
+func (w *World) EndEvacuation(zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if e := w.evacuation(zone); e != nil {
@@ -53,7 +53,7 @@
 
 // entered returns what is to be said of upstreams that took new flows while their zone was
 // evacuated. w.mu is held.
-func (w *World) entered(s *Server) []string {
+func (w *World) entered(s *Upstream) []string {
 	var out []string
 	for _, e := range w.evacuations {
 		until := e.back
--- a/internal/standin/world/foreign.go
+++ b/internal/standin/world/foreign.go
@@ -14,7 +14,7 @@
 	`null`,
 	`"not an entry"`,
 	`{"state":"ready"}`,
-	metadata.Spec(&wire.Server{
+	metadata.EncodeSpec(&wire.Server{
 		Service: ServiceFeed, Address: netip.MustParseAddrPort("127.0.0.9:9"), Zone: "zone-1", Version: "v1",
 		ConcurrencyLimit: 1, State: "frozen",
 	}),
@@ -29,15 +29,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n = min(n, len(w.servers))
-	replaced := make([]*Server, 0, n)
+	replaced := make([]*Upstream, 0, n)
 	for _, i := range w.rng.Perm(len(w.servers))[:n] {
 		s := w.servers[i]
 		name := metadata.EntryName(s.ID)
 		spec := foreignSpecs[w.rng.IntN(len(foreignSpecs))]
-		w.Store.PutForeign(wire.KindServers, name, func(revision uint64) string {
+		w.Store.PutRaw(wire.KindServers, name, func(revision uint64) string {
 			return fmt.Sprintf(`{"meta":{"name":%q,"revision":%d,"created":1},"spec":%s}`, name, revision, spec)
 		})
-		w.Store.PutForeign(wire.KindServers, "other-"+name, func(uint64) string { return `{"meta":17}` })
+		w.Store.PutRaw(wire.KindServers, "other-"+name, func(uint64) string { return `{"meta":17}` })
 		names, replaced = append(names, name), append(replaced, s)
 	}
 	return names, func() {
--- a/internal/standin/world/proxy.go
+++ b/internal/standin/world/proxy.go
@@ -16,17 +16,17 @@
 
 // The faults of a link.
 const (
-	LinkGood LinkFault = iota
+	LinkOK LinkFault = iota
 	// LinkReset cuts connections and refuses new ones.
 	LinkReset
-	// LinkSilent passes nothing, either way, without a word.
-	LinkSilent
-	// LinkDeaf passes requests but no answers: what is asked happens.
-	LinkDeaf
+	// LinkBlackhole passes nothing, either way, without a word.
+	LinkBlackhole
+	// LinkNoAnswers passes requests but no answers: what is asked happens.
+	LinkNoAnswers
 	// LinkSlow holds everything back by slowLink.
 	LinkSlow
-	// LinkFaults is the number of faults.
-	LinkFaults
+	// LinkFaultCount is the number of faults.
+	LinkFaultCount
 )
 
 var linkNames = [...]string{"good", "reset", "silent", "deaf", "slow"}
@@ -49,7 +49,7 @@
 
 	mu    sync.Mutex
 	fault LinkFault
-	rate  *Rate
+	rate  *RateLimit
 	conns map[net.Conn]struct{}
 }
 
@@ -76,8 +76,8 @@
 	return l, eris.Wrap(err, "world")
 }
 
-// Set changes the fault. A reset cuts what is open.
-func (p *Proxy) Set(f LinkFault) {
+// SetFault changes the fault. A reset cuts what is open.
+func (p *Proxy) SetFault(f LinkFault) {
 	p.mu.Lock()
 	p.fault = f
 	p.mu.Unlock()
@@ -86,8 +86,8 @@
 	}
 }
 
-// SetRate bounds how fast answers pass. Proxies that share a rate share a link. Nil is no bound.
-func (p *Proxy) SetRate(r *Rate) {
+// SetRateLimit bounds how fast answers pass. Proxies that share a rate share a link. Nil is no bound.
+func (p *Proxy) SetRateLimit(r *RateLimit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rate = r
@@ -113,7 +113,7 @@
 
 func (p *Proxy) get(from netip.Addr) LinkFault {
 	if p.blocked != nil && p.blocked(from) {
-		return LinkSilent
+		return LinkBlackhole
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,7 +182,7 @@
 			return
 		}
 		f := p.get(from)
-		silent = silent || f == LinkSilent || f == LinkDeaf && answers
+		silent = silent || f == LinkBlackhole || f == LinkNoAnswers && answers
 		if silent {
 			continue
 		}
--- a/internal/standin/world/rate.go
+++ b/internal/standin/world/rate.go
@@ -8,9 +8,9 @@
 // BytesPerSecond is what a link carries.
 type BytesPerSecond int
 
-// Rate is a link of a bounded rate. Who uses it at the same time shares it. It is safe for
+// RateLimit is a link of a bounded rate. Who uses it at the same time shares it. It is safe for
 // concurrent use.
-type Rate struct {
+type RateLimit struct {
 	perSecond BytesPerSecond
 
 	mu sync.Mutex
@@ -18,11 +18,11 @@
 	free time.Time
 }
 
-// NewRate returns a link that carries so much.
-func NewRate(perSecond BytesPerSecond) *Rate { return &Rate{perSecond: perSecond} }
+// NewRateLimit returns a link that carries so much.
+func NewRateLimit(perSecond BytesPerSecond) *RateLimit { return &RateLimit{perSecond: perSecond} }
 
 // await waits until so many bytes have passed.
-func (r *Rate) await(n int) {
+func (r *RateLimit) await(n int) {
 	r.mu.Lock()
 	now := time.Now()
 	if r.free.Before(now) {
@@ -34,19 +34,19 @@
 	time.Sleep(time.Until(free))
 }
 
-// ThinLink lets all that a host takes in over connections, from the store and from other daemons,
+// LimitLink lets all that a host takes in over connections, from the store and from other daemons,
 // share a link of some rate. Connections don't show which daemon opened them, so what the others
 // ask of each other shares it too.
-func (w *World) ThinLink(h *Host, perSecond BytesPerSecond) { w.share(h, NewRate(perSecond)) }
+func (w *World) LimitLink(h *Host, perSecond BytesPerSecond) { w.share(h, NewRateLimit(perSecond)) }
 
-// WideLink ends ThinLink.
-func (w *World) WideLink(h *Host) { w.share(h, nil) }
+// UnlimitLink ends LimitLink.
+func (w *World) UnlimitLink(h *Host) { w.share(h, nil) }
 
-func (w *World) share(h *Host, r *Rate) {
-	h.Proxy.SetRate(r)
+func (w *World) share(h *Host, r *RateLimit) {
+	h.StoreProxy.SetRateLimit(r)
 	for _, o := range w.Hosts {
 		if o != h {
-			o.peers.SetRate(r)
+			o.peers.SetRateLimit(r)
 		}
 	}
 }
--- a/internal/standin/world/restore.go
+++ b/internal/standin/world/restore.go
@@ -13,22 +13,22 @@
 // RestoreStore takes the store away for a time and restores it from a snapshot, as metadata.Store.Snapshot returned it.
 // Operators and upstreams then write again what they wrote since.
 func (w *World) RestoreStore(restore func(), away time.Duration) {
-	w.Store.SetTrouble(metadata.Trouble{Reset: true})
+	w.Store.SetFaults(metadata.Faults{ResetConnections: true})
 	time.AfterFunc(away, func() {
 		restore()
-		w.Store.SetTrouble(metadata.Trouble{})
-		w.WriteAgain(rewriteWithin)
+		w.Store.SetFaults(metadata.Faults{})
+		w.RewriteAll(rewriteWithin)
 	})
 }
 
-// WriteAgain lets operators write the bundle and the evacuations again, and upstreams their entries, each at some
+// RewriteAll lets operators write the bundle and the evacuations again, and upstreams their entries, each at some
 // time within a span. Entries of upstreams that are gone lapse.
-func (w *World) WriteAgain(within time.Duration) {
+func (w *World) RewriteAll(within time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	soon := func() time.Duration { return time.Duration(w.rng.Int64N(int64(within))) }
 	time.AfterFunc(soon(), func() {
-		w.Rewrite()
+		w.RewriteBundle()
 		w.evacuateAgain()
 	})
 	for _, s := range w.servers {
@@ -52,7 +52,7 @@
 	}
 }
 
-func (w *World) registerAgain(s *Server) {
+func (w *World) registerAgain(s *Upstream) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range w.servers {
@@ -63,7 +63,7 @@
 }
 
 // lapseAgain removes the entry of an upstream that is gone, unless it started again under the same identifier.
-func (w *World) lapseAgain(s *Server) {
+func (w *World) lapseAgain(s *Upstream) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range w.servers {
@@ -71,5 +71,5 @@
 			return
 		}
 	}
-	w.Store.Lapse(s.ID)
+	w.Store.Deregister(s.ID)
 }
--- a/internal/standin/world/servers.go
+++ b/internal/standin/world/servers.go
@@ -13,8 +13,8 @@
 
 // pick returns an upstream that may go: one whose zone keeps another of its
 // service. w.mu is held.
-func (w *World) pick() *Server {
-	var fits []*Server
+func (w *World) pick() *Upstream {
+	var fits []*Upstream
 	for _, s := range w.servers {
 		n := 0
 		for _, o := range w.servers {
@@ -32,7 +32,7 @@
 	return fits[w.rng.IntN(len(fits))]
 }
 
-func (w *World) drop(s *Server) {
+func (w *World) drop(s *Upstream) {
 	for i, o := range w.servers {
 		if o == s {
 			w.servers = append(w.servers[:i], w.servers[i+1:]...)
@@ -42,9 +42,9 @@
 	}
 }
 
-// DrainServer lets an upstream leave as planned: it says so, serves on for the bound
+// DrainUpstream lets an upstream leave as planned: it says so, serves on for the bound
 // and a little longer, and ends. Its flows close after their next answers.
-func (w *World) DrainServer() bool {
+func (w *World) DrainUpstream() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.pick()
@@ -60,31 +60,31 @@
 		s.crashing = time.Now()
 		s.end()
 		w.drop(s)
-		w.Store.Lapse(s.ID)
+		w.Store.Deregister(s.ID)
 	})
 	return true
 }
 
-// CrashServer ends an upstream at once; its entry lapses later. If reuse is set, an
+// CrashUpstream ends an upstream at once; its entry lapses later. If reuse is set, an
 // upstream of the other service then starts at its address.
-func (w *World) CrashServer(reuse bool) bool {
+func (w *World) CrashUpstream(reuse bool) bool {
 	s := w.crash()
 	if s == nil {
 		return false
 	}
 	time.AfterFunc(lapseAfter, func() {
-		w.Store.Lapse(s.ID)
+		w.Store.Deregister(s.ID)
 		if reuse {
 			// The address may still be in use for a moment; then there is no reuse.
-			_ = w.AddServer(other(s.Service), string(s.Zone), s.Address)
+			_ = w.AddUpstream(other(s.Service), string(s.Zone), s.Address)
 		}
 	})
 	return true
 }
 
-// RestartServer ends an upstream as a crash does and starts it again a while later under its
+// RestartUpstream ends an upstream as a crash does and starts it again a while later under its
 // identifier, at its address. It knows nothing of the flows of before.
-func (w *World) RestartServer(after time.Duration) bool {
+func (w *World) RestartUpstream(after time.Duration) bool {
 	s := w.crash()
 	if s == nil {
 		return false
@@ -93,14 +93,14 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.startServer(s.UpstreamOptions) != nil {
-			w.Store.Lapse(s.ID) // Its address is still in use for a moment, so it stays away.
+			w.Store.Deregister(s.ID) // Its address is still in use for a moment, so it stays away.
 		}
 	})
 	return true
 }
 
 // crash ends any upstream that may go at once, and returns it, or nil.
-func (w *World) crash() *Server {
+func (w *World) crash() *Upstream {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.pick()
@@ -120,9 +120,9 @@
 	return ServiceFeed
 }
 
-// Judge implements the rule for resets of open flows: an upstream that lives and
+// MayReset implements the rule for resets of open flows: an upstream that lives and
 // didn't reset the flow itself keeps it.
-func (w *World) Judge(c cookie.Cookie, caller netip.AddrPort) bool {
+func (w *World) MayReset(c cookie.Cookie, caller netip.AddrPort) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.find(c)
@@ -138,7 +138,7 @@
 
 // heldBefore reports whether a former incarnation of an upstream held a caller's flow, and
 // the present one doesn't. w.mu is held.
-func (w *World) heldBefore(s *Server, caller netip.AddrPort) bool {
+func (w *World) heldBefore(s *Upstream, caller netip.AddrPort) bool {
 	for _, former := range w.past {
 		if former != s && former.ID == s.ID && former.Opened(caller) {
 			return !s.Opened(caller)
@@ -147,9 +147,9 @@
 	return false
 }
 
-// Serves implements the rule for the switching route: a flow goes to the service
+// MayServe implements the rule for the switching route: a flow goes to the service
 // that was in force when it opened, or not longer before than the bound.
-func (w *World) Serves(service string, opened time.Time) bool {
+func (w *World) MayServe(service string, opened time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.settled(opened) {
@@ -164,14 +164,14 @@
 	return false
 }
 
-// Finish returns the broken promises that the upstreams show: requests that ran
+// Violations returns the broken promises that the upstreams show: requests that ran
 // twice and flows that reached a draining upstream, or an evacuated zone, too late.
-func (w *World) Finish() []string {
+func (w *World) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
 	runs := make(map[uint64]int)
-	for _, list := range [][]*Server{w.servers, w.past} {
+	for _, list := range [][]*Upstream{w.servers, w.past} {
 		for _, s := range list {
 			for id, n := range s.Runs() {
 				runs[uint64(id)] += n
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -57,7 +57,7 @@
 
 // Ports are those of one world, the same on all hosts.
 type Ports struct {
-	Data, Ready, Control, Metrics, Store, Proxy uint16
+	Data, Ready, Control, Metrics, Store, StoreProxy uint16
 	// Peers is where daemons are reached by others, through a relay.
 	Peers uint16
 }
@@ -68,9 +68,9 @@
 	Hosts     int
 	Upstreams int
 	Callers   int
-	// UnlikeRoutes gives the routes that no caller uses names which don't compress, so that a bundle of many is as
+	// IncompressibleRoutes gives the routes that no caller uses names which don't compress, so that a bundle of many is as
 	// large between daemons as it is in the store.
-	UnlikeRoutes bool
+	IncompressibleRoutes bool
 }
 
 // World is the stand-ins of one run. Its methods are safe for concurrent use.
@@ -86,8 +86,8 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	next      int
-	servers   []*Server
-	past      []*Server
+	servers   []*Upstream
+	past      []*Upstream
 	version   bundle.Version
 	switches  []switched
 	unstable  time.Time
@@ -99,10 +99,10 @@
 
 // Host is where a balancer runs.
 type Host struct {
-	Name  string
-	Zone  string
-	IP    netip.Addr
-	Proxy *Proxy
+	Name       string
+	Zone       string
+	IP         netip.Addr
+	StoreProxy *Proxy
 	// Seeds replace the world's first hosts in the settings, if there are any.
 	Seeds []netip.AddrPort
 	// CPUShare is the host's share of a core, 1 if it is zero.
@@ -116,8 +116,8 @@
 	peers *Proxy
 }
 
-// Server is an upstream with its entry in the store.
-type Server struct {
+// Upstream is an upstream with its entry in the store.
+type Upstream struct {
 	*flows.Upstream
 	end func()
 	// at is where it is reached, through a relay.
@@ -185,7 +185,7 @@
 		found = append(found, uint16(l.Addr().(*net.TCPAddr).Port))
 	}
 	w.ports = Ports{
-		Data: found[0], Ready: found[1], Control: found[2], Metrics: found[3], Store: found[4], Proxy: found[5], Peers: found[6],
+		Data: found[0], Ready: found[1], Control: found[2], Metrics: found[3], Store: found[4], StoreProxy: found[5], Peers: found[6],
 	}
 	return nil
 }
@@ -226,12 +226,12 @@
 	i := len(w.Hosts)
 	ip := netip.AddrFrom4([4]byte{127, 0, byte(1 + i%zones), byte(1 + i/zones)})
 	h := &Host{Name: fmt.Sprintf("host-%d", i+1), Zone: zoneName(i % zones), IP: ip}
-	p, stop, err := NewProxy(ctx, netip.AddrPortFrom(ip, w.ports.Proxy), w.storeAt(), nil)
+	p, stop, err := NewProxy(ctx, netip.AddrPortFrom(ip, w.ports.StoreProxy), w.storeAt(), nil)
 	if err != nil {
 		return nil, err
 	}
 	w.cleanup = append(w.cleanup, stop)
-	h.Proxy = p
+	h.StoreProxy = p
 	w.cuts.mu.Lock()
 	w.cuts.zones[ip] = h.Zone
 	w.cuts.mu.Unlock()
@@ -274,16 +274,16 @@
 		if i%3 == 2 {
 			service = ServiceSheets
 		}
-		if err := w.AddServer(service, zoneName(i%zones), netip.AddrPort{}); err != nil {
+		if err := w.AddUpstream(service, zoneName(i%zones), netip.AddrPort{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// AddServer starts an upstream and registers it. It gets an address of its own if
+// AddUpstream starts an upstream and registers it. It gets an address of its own if
 // none is given.
-func (w *World) AddServer(service, zone string, at netip.AddrPort) error {
+func (w *World) AddUpstream(service, zone string, at netip.AddrPort) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next++
@@ -294,7 +294,7 @@
 	id := bundle.UpstreamID(w.rng.Uint64N(1 << 40))
 	return w.startServer(flows.UpstreamOptions{
 		ID: id, Service: service, Zone: bundle.Zone(zone), Address: at, CallerPort: w.ports.Data,
-		Work: workTime, Slots: slotsPerServer, Codec: metadata.Segments{}, Health: metadata.Health(id),
+		Work: workTime, Slots: slotsPerServer, Codec: metadata.SegmentCodec{}, Health: metadata.HealthHandler(id),
 	})
 }
 
@@ -304,7 +304,7 @@
 	if err != nil {
 		return err
 	}
-	s := &Server{Upstream: u, end: end, born: time.Now()}
+	s := &Upstream{Upstream: u, end: end, born: time.Now()}
 	if err := w.link(s); err != nil {
 		end()
 		return err
@@ -315,7 +315,7 @@
 }
 
 // link puts a relay before an upstream, at the same port of another address.
-func (w *World) link(s *Server) error {
+func (w *World) link(s *Upstream) error {
 	ip := s.Address.Addr().As4()
 	ip[1] = linkNet
 	s.at = netip.AddrPortFrom(netip.AddrFrom4(ip), s.Address.Port())
@@ -332,7 +332,7 @@
 }
 
 // register writes an upstream's entry. w.mu is held.
-func (w *World) register(s *Server) {
+func (w *World) register(s *Upstream) {
 	s.beats++
 	w.Store.Register(&registry.Registration{
 		ID: s.ID, Service: s.Service, Address: s.at, Zone: s.Zone, Slots: s.Slots, Draining: !s.drained.IsZero(),
@@ -360,15 +360,15 @@
 }
 `, h.Name, h.Zone, h.Regions, cmp.Or(h.CPUShare, 1), h.FirstStart, seeds,
 		at(w.ports.Data), at(w.ports.Ready), at(w.ports.Control), at(w.ports.Peers), at(w.ports.Metrics),
-		netip.AddrPortFrom(h.IP, w.ports.Proxy))
+		netip.AddrPortFrom(h.IP, w.ports.StoreProxy))
 }
 
 // DataAddress returns where a host's daemon takes packets.
 func (w *World) DataAddress(h *Host) netip.AddrPort { return h.route.Data }
 
-// Disturbed notes that a fault is at work for a time: the bounds on time don't hold
+// MarkUnstable notes that a fault is at work for a time: the bounds on time don't hold
 // until settleAfter has passed after it.
-func (w *World) Disturbed(d time.Duration) {
+func (w *World) MarkUnstable(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if until := time.Now().Add(d); until.After(w.unstable) {
@@ -379,8 +379,8 @@
 func (w *World) settled(at time.Time) bool { return at.Sub(w.unstable) > settleAfter }
 
 // find returns the server that a cookie names.
-func (w *World) find(c cookie.Cookie) *Server {
-	for _, list := range [][]*Server{w.servers, w.past} {
+func (w *World) find(c cookie.Cookie) *Upstream {
+	for _, list := range [][]*Upstream{w.servers, w.past} {
 		for _, s := range list {
 			if cookie.Of(s.ID) == c {
 				return s
