--- a/internal/connection/cookie/cause.go
+++ b/internal/connection/cookie/cause.go
@@ -44,7 +44,8 @@
 	// CauseSilent: a retransmitted first packet was sent to another upstream, since the first one
 	// was silent.
 	CauseSilent
-	// CauseSpilled: a new flow was placed in another zone, which had more free capacity.
+	// CauseSpilled: a new flow was placed in another zone, which had more free capacity, or since no
+	// upstream of the own zone could take it.
 	CauseSpilled
 	// CauseEvacuated: a first packet arrived again after the zone of its flow's upstream was
 	// evacuated.
--- a/internal/connection/cookie/ejection.go
+++ b/internal/connection/cookie/ejection.go
@@ -34,9 +34,9 @@
 	// minFailureShare is the least share of requests that failed. The users' failing upstreams fail
 	// two requests in five, or all.
 	minFailureShare = 0.25
-	// minFailureRatio is how many times the share of the service's other upstreams that share must
-	// be at least. Requests whose flow routers move to another balancer seem to fail here; a
-	// rolling restart moves nearly all flows, so it looks alike at all upstreams.
+	// minFailureRatio is the least ratio of that share to the share at the service's other
+	// upstreams. Requests whose flow routers move to another balancer seem to fail here; a rolling
+	// restart moves nearly all flows, so it looks alike at all upstreams.
 	minFailureRatio = 3
 	// ejectDuration is the length of an upstream's first ejection. It is doubled at each of the
 	// next ejections, up to the one numbered maxEjectSteps.
--- a/internal/connection/cookie/flow.go
+++ b/internal/connection/cookie/flow.go
@@ -19,11 +19,15 @@
 	// overdue is set if a request is in progress but no longer counts in the load, since it has
 	// waited longer than answerTimeout.
 	overdue bool
+	// closing is set once the caller has closed the flow.
 	closing bool
 	// formerIncarnation is set if the upstream seems to have restarted since. The flow doesn't
 	// count in the load until its caller acknowledges new data.
-	formerIncarnation    bool
-	lastCopy             uint32
+	formerIncarnation bool
+	// lastCopy is the highest Packet.Copy seen of the flow's first packet.
+	lastCopy uint32
+	// placedAt is when this balancer added the record, lastPacket when the last packet arrived. A
+	// duplicate of the first packet doesn't count.
 	placedAt, lastPacket time.Time
 	// requestedAt is when the first packet of the request in progress arrived.
 	requestedAt time.Time
--- a/internal/connection/cookie/pending.go
+++ b/internal/connection/cookie/pending.go
@@ -23,8 +23,8 @@
 	// upstream becomes a suspect: most of the objective is left for the detection, and for the
 	// caller's next attempt elsewhere.
 	suspicionShare = 0.3
-	// minTypicalLatencies is for how many times the service's typical latency a request may wait at
-	// least: an upstream that is no slower than is typical isn't to be probed.
+	// minTypicalLatencies times the typical latency of the service is the least time for which a
+	// request may wait: an upstream that is no slower than is typical isn't to be probed.
 	minTypicalLatencies = 3
 	// minSuspicionDelay and maxSuspicionDelay bound that wait. Any upstream lets some requests wait
 	// for longer than the minimum; callers retransmit a packet after the maximum.
--- a/internal/connection/cookie/pending_test.go
+++ b/internal/connection/cookie/pending_test.go
@@ -54,7 +54,7 @@
 		Expect(due[0].Upstream.ID).To(Equal(u.Route.ID))
 	})
 
-	It("doesn't if it is answered, even if a later one waits", func() {
+	It("causes no probe if it is answered, even if a later one waits", func() {
 		e := newEngine(registrations(3))
 		c, u, asked := waiting(e)
 		e.Decide(c.ackPacket(100), asked.Add(20*ms))
@@ -66,7 +66,7 @@
 	})
 
 	// The daemon checks the waiting requests late, as on a host that is short of processor time.
-	It("doesn't if its upstream has answered another flow since", func() {
+	It("causes no probe if its upstream has answered another flow since", func() {
 		e := newEngine(registrations(3))
 		_, u, asked := waiting(e)
 		seeUpstream(e, 77, u.Route.ID, asked.Add(10*ms))
@@ -74,7 +74,7 @@
 		Expect(e.DueProbes(asked.Add(300 * ms))).To(BeEmpty())
 	})
 
-	It("doesn't while an answered probe shows that its upstream lives", func() {
+	It("causes no probe while an answered one shows that its upstream is alive", func() {
 		e := newEngine(registrations(3))
 		c, u, asked := waiting(e)
 		now := asked.Add(objective / 2)
@@ -87,7 +87,7 @@
 
 	// Guards against a probe for each request of a service whose answers take long. The probes
 	// would take up slots and show nothing.
-	It("doesn't while it waits no longer than is typical for its service", func() {
+	It("causes no probe while it waits no longer than is typical for its service", func() {
 		e := newEngine(registrations(3))
 		for n := range 200 {
 			c := newCaller(300+n, feedAt)
@@ -105,7 +105,7 @@
 		Expect(e.DueProbes(asked.Add(190 * ms))).To(HaveLen(1))
 	})
 
-	It("doesn't if its route has no objective", func() {
+	It("causes no probe if its route has no objective", func() {
 		e := newEngineWithoutObjectives(registrations(3))
 		_, _, asked := waiting(e)
 		Expect(e.DueProbes(asked.Add(10 * time.Second))).To(BeEmpty())
--- a/internal/connection/cookie/upstream.go
+++ b/internal/connection/cookie/upstream.go
@@ -18,8 +18,9 @@
 	// packet shows that it is alive.
 	HealthSuspect
 	// HealthDead: a probe was refused or answered by another upstream, two probes went unanswered,
-	// or the upstream fell silent together with others of its zone (see Engine.ProbePending). A
-	// draining upstream must refuse two probes. The flows of a dead upstream are reset.
+	// or the upstream fell silent together with others of its zone (see Engine.ProbePending). If
+	// the upstream drains, it is dead only after it refused two probes in a row. The flows of a dead
+	// upstream are reset.
 	HealthDead
 )
 
@@ -56,7 +57,8 @@
 )
 
 // Upstream is an upstream with what this balancer observed of it. It belongs to the engine; other
-// packages may only read Route and Cookie.
+// packages may only read Route and Cookie. The engine never changes the route to which Route points:
+// if the registration or the bundle changes, it sets Route to a new one.
 type Upstream struct {
 	Route  *bundle.UpstreamRoute
 	Cookie Cookie
--- a/internal/connection/cookie/zonehealth.go
+++ b/internal/connection/cookie/zonehealth.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	// zoneSuspectTTL is how long a zone that may be cut off gets no new flows. It is as long as
-	// reports of its free capacity may still arrive from members that received them before.
+	// zoneSuspectTTL is how long a zone that may be cut off gets no new flows. Reports of its free
+	// capacity may still arrive for as long, from members that received them before.
 	zoneSuspectTTL = 2 * time.Second
 	// minSilentTogether is how many upstreams of a zone must leave a connection unaccepted at the
 	// same time for the zone to count as lost at the first attempt. One or two may be busy, or a
@@ -58,11 +58,12 @@
 // markSeen notes a sign of life from the zone and clears all suspicion.
 func (h *zoneHealth) markSeen(now time.Time) { *h = zoneHealth{lastSeen: now} }
 
-// noteUnanswered notes that a caller retransmitted a packet, or waits long for an answer, from an
-// upstream. If the upstream is silent while others are seen, it becomes a suspect. That no upstream
-// at all is seen may mean that this host is slow or cut off, or its link full. It may also mean
-// that all its flows are in a zone whose upstreams fell silent together. The upstream is then kept
-// in pendingSuspects until an upstream of another zone shows which it is.
+// noteUnanswered notes that a caller retransmitted a packet to an upstream, or has waited long for
+// its answer. If the upstream is silent while others are seen, it becomes a suspect. While no
+// upstream at all is seen, its silence shows nothing: this host may be slow or cut off, or its link
+// full. It may also be that all flows of this host are in a zone whose upstreams fell silent
+// together. The upstream is then kept in pendingSuspects until an upstream of another zone shows
+// which it is.
 func (e *Engine) noteUnanswered(u *Upstream, now time.Time) {
 	if u.health != HealthGood || !u.silent(now) {
 		return
--- a/internal/connection/cookie/zonehealth_test.go
+++ b/internal/connection/cookie/zonehealth_test.go
@@ -89,7 +89,7 @@
 		z.answerCheck(true)
 	})
 
-	It("checks none once it sees one, in whatever zone", func() {
+	It("checks no upstream once it sees one, whatever its zone", func() {
 		for _, at := range []bundle.UpstreamID{registration(1).ID, registration(5).ID} {
 			z := newSilentZone()
 			c := newCaller(99, feedAt)
--- a/internal/connection/upstream/loadtable.go
+++ b/internal/connection/upstream/loadtable.go
@@ -67,6 +67,7 @@
 	return t.load(id)
 }
 
+// load returns the load of an upstream and creates it on first use. mu must be held for writing.
 func (t *LoadTable) load(id bundle.UpstreamID) *Load {
 	l := t.loads[id]
 	if l == nil {
@@ -95,7 +96,7 @@
 	return len(t.loads)
 }
 
-// UpdateReported takes the counts that the member from reported: flows[i] is the number of flows
+// UpdateReported stores the counts that the member from reported: flows[i] is the number of flows
 // that it owns at the upstream ids[i]. Its counts at other upstreams stay. Slices of different
 // lengths are ignored, because the counts then belong to another version of the bundle.
 func (t *LoadTable) UpdateReported(from MemberID, ids []bundle.UpstreamID, flows []uint32) {
--- a/internal/connection/upstream/policy.go
+++ b/internal/connection/upstream/policy.go
@@ -32,7 +32,7 @@
 type LeastLoaded struct{}
 
 // requestWeight is the weight of a request in progress relative to a flow. It is small enough that
-// requests weigh less than one whole flow.
+// all requests in progress at an upstream weigh less than one flow.
 const requestWeight = 1.0 / 1024
 
 // Choose implements Policy.
--- a/internal/connection/upstream/simulation_test.go
+++ b/internal/connection/upstream/simulation_test.go
@@ -15,9 +15,9 @@
 )
 
 // The patterns of load below are simulated by a small queueing model without a network. Its figures
-// are those of the second user: upstreams with 3 slots and a queue of 12 requests, requests of 55
-// ms, a flow with about 1.3 requests per second, and balancers that learn of each other's flows
-// half a second late.
+// are those of the users' second installation: upstreams with 3 slots and a queue of 12 requests,
+// requests of 55 ms, a flow with about 1.3 requests per second, and balancers that learn of each
+// other's flows half a second late.
 const (
 	simSlots         = 3
 	simQueue         = 12
--- a/internal/version/objects/client.go
+++ b/internal/version/objects/client.go
@@ -33,13 +33,13 @@
 	AcceptSize func(size int64) bool
 }
 
-// ObjectCall returns a call for a single object, with its time-out set.
+// ObjectCall returns a call for a single object, with its timeout set.
 func ObjectCall() Call { return Call{Timeout: firstByteTimeout} }
 
-// ListCall returns a call for a page of a list, with its time-out and AcceptSize set.
+// ListCall returns a call for a page of a list, with its timeout and AcceptSize set.
 func ListCall(o *ListOptions) Call { return Call{Timeout: firstByteTimeout, AcceptSize: o.AcceptSize} }
 
-// WatchCall returns a call that waits for changes, with its time-out and MaxBytes set.
+// WatchCall returns a call that waits for changes, with its timeout and MaxBytes set.
 func WatchCall(wait time.Duration) Call {
 	return Call{Timeout: wait + firstByteTimeout, MaxBytes: maxWatchBytes}
 }
@@ -79,7 +79,7 @@
 // Limits of calls and connections.
 const (
 	// firstByteTimeout is how long an answer may take to begin, in addition to the wait of a watch. The
-	// store answers in 4 ms, and in 240 ms when it is slow. A dead connection costs this long.
+	// users' store answers in 4 ms, and in 240 ms when it is slow. A dead connection costs this long.
 	firstByteTimeout = 700 * time.Millisecond
 	// maxWatchBytes bounds the answer of a watch. It is more than the largest object, one megabyte. A watch
 	// returns each version of an object that changed repeatedly, a list only the last. If an operator
--- a/internal/version/objects/listwatcher.go
+++ b/internal/version/objects/listwatcher.go
@@ -80,7 +80,7 @@
 )
 
 // ListWatcher reads one kind of objects. Implementations are safe for concurrent use and return after the wait
-// plus the time-out of one call at the latest.
+// plus the timeout of one call at the latest.
 type ListWatcher[T any] interface {
 	// List returns a page of the list of all objects.
 	List(ctx context.Context, o ListOptions) (Page[T], error)
--- a/internal/version/registry/registration.go
+++ b/internal/version/registry/registration.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// maxWarmup bounds what an entry may claim. Upstreams are slow for seconds after their start; an entry that
-// claims days is an error of its writer.
+// maxWarmup bounds what an entry may claim. The users' upstreams are slow for seconds after their start; an entry
+// that claims days is an error of its writer.
 const maxWarmup = time.Hour
 
 // HasContent reports whether the registration has a content, be it the former content of an unusable entry.
--- a/internal/version/transfer/transfer.go
+++ b/internal/version/transfer/transfer.go
@@ -15,7 +15,8 @@
 	// FirstByteTimeout is how long the answer may take to begin. If it is zero, only the context of the caller
 	// bounds the transfer, and the other limits have no effect.
 	FirstByteTimeout time.Duration
-	// StallTimeout is how long no data may arrive once the answer has begun. Zero is no bound.
+	// StallTimeout is how long no data may arrive once the answer has begun. If it is zero, arriving data doesn't
+	// extend the transfer: the whole answer must arrive within FirstByteTimeout.
 	StallTimeout time.Duration
 	// MaxDuration is how long the rest of the answer may take, DefaultMaxDuration if it is zero.
 	MaxDuration time.Duration
@@ -26,8 +27,8 @@
 	// that dies in the middle of an answer costs this long.
 	DefaultStallTimeout = 700 * time.Millisecond
 	// DefaultMaxDuration bounds a transfer whose data arrives in small pieces, which would otherwise delay all
-	// later transfers. The largest answer, four megabytes, takes this long on a third of a link of 10 Mbit/s,
-	// the slowest link that is supported.
+	// later transfers. The largest answer, four megabytes, takes this long on a third of the users' slowest link,
+	// which has 10 Mbit/s.
 	DefaultMaxDuration = 10 * time.Second
 )
 
@@ -47,8 +48,8 @@
 	stallTimer, endTimer *time.Timer
 }
 
-// Begin starts a transfer. The returned context is cancelled when the transfer exceeds a limit. End must be
-// called.
+// Begin starts a transfer. The returned context is cancelled when the transfer exceeds a limit, with ErrStalled as
+// its cause. End must be called.
 func (c *Counts) Begin(ctx context.Context, l Limits) (context.Context, *Transfer) {
 	c.Begun.Add(1)
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -64,7 +65,8 @@
 // Bytes returns how many bytes have been received.
 func (t *Transfer) Bytes() uint64 { return t.received.Load() }
 
-// Reader returns a reader of r that counts the bytes received and restarts the stall time-out with each read.
+// Reader returns a reader of r that counts the bytes received and restarts the stall timeout with each read that
+// returns data.
 func (t *Transfer) Reader(r io.Reader) io.Reader { return reader{t: t, r: r} }
 
 // End records how the transfer ended; err is nil if it succeeded. It returns nil, err, or ErrStalled if the transfer
