--- a/internal/connection/cookie/report.go
+++ b/internal/connection/cookie/report.go
@@ -25,9 +25,9 @@
 }
 
 // ApplyZoneReport applies the counts of all balancers of the zone. Flows beyond this balancer's own
-// are those of the other balancers. By them, many balancers that each see few flows spread these
-// evenly, and find free capacity in a burst of their zone. It returns the upstreams that get no new
-// flows from now on, since too many of their requests fail.
+// are those of the other balancers. With these counts, many balancers that each see few flows spread
+// them evenly, and find free capacity in a burst of their zone. It returns the upstreams that get no
+// new flows from now on, since too many of their requests fail.
 func (e *Engine) ApplyZoneReport(r *peer.Report, now time.Time) []bundle.UpstreamID {
 	ids := make([]bundle.UpstreamID, 0, len(r.Loads))
 	flows := make([]uint32, 0, len(r.Loads))
