--- a/internal/connection/peer/contacts.go
+++ b/internal/connection/peer/contacts.go
@@ -38,7 +38,7 @@
 // ErrContacts is returned for contacts that are too many or that have an invalid address.
 var ErrContacts = eris.New("peer: unusable contacts")
 
-// Check returns ErrContacts if there are too many contacts or if one can't be reached.
+// Check returns ErrContacts if there are too many contacts or if one has no valid control address.
 func (c *Contacts) Check() error {
 	if len(c.Members) > MaxContacts {
 		return eris.Wrapf(ErrContacts, "got %d contacts, want at most %d", len(c.Members), MaxContacts)
--- a/internal/connection/peer/gossip.go
+++ b/internal/connection/peer/gossip.go
@@ -70,8 +70,8 @@
 	return u.State > known.State
 }
 
-// refute answers a false claim about this daemon. It supersedes a claim that is about an earlier
-// run of this daemon, or that says that it is dead, by taking a higher incarnation.
+// refute answers a false claim about this daemon, such as one about an earlier run of it or one that
+// it is suspected or dead. The daemon takes a higher incarnation, which supersedes the claim.
 func (m *Membership) refute(u Member) {
 	if u.Incarnation < m.self.Incarnation || u.Boot == m.self.Boot && u.State == m.self.State {
 		return
--- a/internal/connection/peer/membership_test.go
+++ b/internal/connection/peer/membership_test.go
@@ -63,7 +63,7 @@
 	// A leaving host is killed before it has left and restarts with a clock that was set back. Its
 	// new incarnation is lower than the one that others know, so without a refutation they would
 	// believe it to be leaving as long as it runs: it would never read the store or report for its
-	// zone.
+	// zone, however large it is.
 	It("doesn't believe a host to be leaving after it restarted with a clock that was set back", func() {
 		w := links.New(9, 8)
 		w.RunUntil(10*time.Second, w.Converged)
--- a/internal/connection/peer/reader.go
+++ b/internal/connection/peer/reader.go
@@ -146,8 +146,8 @@
 // of these cases, so each leads to the same takeover. It isn't safe for concurrent use.
 type ReaderElection struct {
 	reading bool
-	// lastReceived is the time as of which other daemons last advertised the store's content,
-	// lastFromRankedBefore the same for daemons that rank before this one.
+	// lastReceived is the latest time as of which other daemons advertised the store's content or
+	// this one read it, lastFromRankedBefore that of daemons that rank before this one.
 	lastReceived, lastFromRankedBefore time.Time
 	// storeLostAt is when a daemon that reads was last known to be alive and without an answer from
 	// the store.
@@ -177,8 +177,8 @@
 	maxFreshAge = 1500 * time.Millisecond
 )
 
-// Received records that another daemon advertised the store's content as of a time. ranksBefore says
-// that the other daemon ranks before this one.
+// Received records that another daemon advertised the store's content as of a time, or that this
+// daemon read it. ranksBefore says that it was another daemon, which ranks before this one.
 func (r *ReaderElection) Received(asOf time.Time, ranksBefore bool) {
 	if asOf.After(r.lastReceived) {
 		r.lastReceived = asOf
--- a/internal/connection/peer/startup.go
+++ b/internal/connection/peer/startup.go
@@ -104,5 +104,5 @@
 // and takes as long to read the list as the daemon itself.
 func IsLargerSource(member, self uint32) bool { return member >= sourceSizeFactor*self }
 
-// sourceSizeFactor is by which factor such a member must be larger.
+// sourceSizeFactor is how many times as large such a member must be, at least.
 const sourceSizeFactor = 2
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// AddAllMembers adds to hop all other members in order of rank, as far as it has free capacity.
+// AddAllMembers adds to hop all other members in order of rank, as many as fit into it.
 // They are queried if the replicas according to the ranking may be dead, because a former replica
 // may still hold the record.
 func (v *View) AddAllMembers(h FlowHash, hop *geneve.Hop) {
--- a/internal/process/cookiedaemon/contacts.go
+++ b/internal/process/cookiedaemon/contacts.go
@@ -92,7 +92,8 @@
 	k.ping()
 }
 
-// read fetches the contacts. Contacts that can't be decoded count as empty, so that the daemon that
+// read fetches the contacts. It returns objects.ErrNotFound if the store has none, which refresh
+// doesn't treat as a failure. Contacts that can't be decoded count as empty, so that the daemon that
 // maintains them replaces them.
 func (k *contacts) read(ctx context.Context) error {
 	o, err := k.object.Get(ctx)
--- a/internal/process/cookiedaemon/daemon.go
+++ b/internal/process/cookiedaemon/daemon.go
@@ -178,8 +178,8 @@
 // ReadsStore reports whether the daemon currently reads the store.
 func (c *Daemon) ReadsStore() bool { return c.shouldReadStore(time.Now()) }
 
-// tick runs every tickPeriod. It records that the process is running, expires held upstreams and
-// evacuations of a restored store, and sends the probes that are due.
+// tick runs every tickPeriod. It records that the process is running, expires the upstreams and
+// evacuations that are held in place of the store's content, and sends the probes that are due.
 func (c *Daemon) tick(now time.Time) {
 	c.pauses.Observe(now)
 	c.mu.Lock()
@@ -215,12 +215,12 @@
 	began := time.Now()
 	c.departure.begin(began, c.cfg.Load().LingerLimit())
 	c.leaving.Store(true)
-	c.members.sendLeaving()
+	c.members.announceLeaving()
 	klog.InfoS("Leaving", "Flows", c.flows())
 	for now := began; !c.departure.mayEnd(now); now = time.Now() {
 		time.Sleep(departurePoll)
 	}
-	c.members.sendLeft()
+	c.members.announceLeft()
 	klog.InfoS("Left", "Flows", c.flows(), "After", time.Since(began))
 }
 
--- a/internal/process/cookiedaemon/epoch.go
+++ b/internal/process/cookiedaemon/epoch.go
@@ -40,8 +40,8 @@
 	return changed
 }
 
-// expireHeldUpstreams releases upstreams that the store lacks or has with an older content since
-// its restore, once they have been held for long enough. c.mu must be held.
+// expireHeldUpstreams releases upstreams that the store no longer has, or has with an older content,
+// once they have been held for long enough. c.mu must be held.
 func (c *Daemon) expireHeldUpstreams(now time.Time) {
 	older, missing := c.state.catalog.HeldCounts()
 	if !c.state.catalog.Expire(now) {
--- a/internal/process/cookiedaemon/members.go
+++ b/internal/process/cookiedaemon/members.go
@@ -76,7 +76,7 @@
 const (
 	seedPeriod       = 300 * time.Millisecond
 	maxSeedPeriod    = 2400 * time.Millisecond
-	joinedSeedPeriod = 20 * time.Second
+	connectedSeedPeriod = 20 * time.Second
 )
 
 // milliCores is the unit of peer.Member.Size.
@@ -115,7 +115,7 @@
 	c.members = m
 	ctx, cancel := context.WithCancel(ctx)
 	m.ctx = ctx
-	ports.Start(m.datagram)
+	ports.Start(m.handleDatagram)
 	m.tick(c.started)
 	m.wg.Go(func() { m.join(ctx) })
 	m.wg.Go(func() { m.serve(ctx) })
@@ -169,7 +169,7 @@
 	m.catalog.SetKeys(k)
 }
 
-func (m *members) datagram(from netip.AddrPort, b []byte) {
+func (m *members) handleDatagram(from netip.AddrPort, b []byte) {
 	m.received.Add(1)
 	m.receivedBytes.Add(uint64(len(b)))
 	if len(b) == 0 {
@@ -339,7 +339,7 @@
 		m.nextSeed = now.Add(m.seedPeriod)
 		m.seedPeriod = min(2*m.seedPeriod, maxSeedPeriod)
 		if len(m.view.Load().Members) > 1 && m.c.start.ready.isSet() {
-			m.nextSeed = now.Add(joinedSeedPeriod/2 + rand.N(joinedSeedPeriod))
+			m.nextSeed = now.Add(connectedSeedPeriod/2 + rand.N(connectedSeedPeriod))
 		}
 		return append(out, g.Seed(m.c.cfg.Load().Seeds)...)
 	})
@@ -353,10 +353,10 @@
 	return m.membership.ServingMemberSeen()
 }
 
-func (m *members) sendLeaving() {
+func (m *members) announceLeaving() {
 	m.update(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeaving(time.Now()) })
 }
 
-func (m *members) sendLeft() {
+func (m *members) announceLeft() {
 	m.update(func(g *peer.Membership) []peer.Envelope { return g.AnnounceLeft(time.Now()) })
 }
--- a/internal/process/cookiedaemon/probe.go
+++ b/internal/process/cookiedaemon/probe.go
@@ -128,8 +128,8 @@
 }
 
 // unaccepted reports whether a connection isn't accepted yet. It asks the operating system: on a
-// host that is short of CPU time, the acceptance of a connection may not have been read for long,
-// while the later answer of a reference has.
+// host that is short of CPU time, the process may not yet have handled a connection that was
+// accepted long ago, although it has already handled the later answer of a reference.
 func unaccepted(conn syscall.RawConn) bool {
 	pending := false
 	err := conn.Control(func(fd uintptr) {
--- a/internal/process/cookiedaemon/start.go
+++ b/internal/process/cookiedaemon/start.go
@@ -78,7 +78,7 @@
 	// however long the list is.
 	largeListBytes = 96 << 10
 	// largerMemberTimeout is how long a daemon waits for a larger member before it reads the store
-	// itself. That member may be removed, starting as well, or unreachable behind a network
+	// itself. That member may have departed, be starting as well, or be unreachable behind a network
 	// partition.
 	largerMemberTimeout = 100 * time.Millisecond
 )
--- a/internal/process/daemon/bundles.go
+++ b/internal/process/daemon/bundles.go
@@ -169,6 +169,6 @@
 		err = b.accept(s, &b.fromPeers)
 	}
 	if err != nil {
-		klog.V(1).InfoS("Bundle not fetched from a member", "From", from, "Error", err)
+		klog.V(1).InfoS("Bundle from a member not put in force", "From", from, "Error", err)
 	}
 }
--- a/internal/process/daemon/control.go
+++ b/internal/process/daemon/control.go
@@ -22,8 +22,10 @@
 	codec *peer.Codec[peer.Message, *peer.Message]
 	ports *udpport.Ports
 
-	// mu guards membership and epoch. It is a leaf in the lock order: no other lock is
-	// taken while it is held.
+	// mu guards membership and epoch. In the lock order it comes after bundle.InForce,
+	// which is locked while a new bundle calls setBundle, and before the mutex of the
+	// engine's LoadTable, which update takes while it holds mu. No message is sent
+	// while mu is held.
 	mu         sync.Mutex
 	membership *peer.Membership
 	epoch      uint64
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -140,8 +140,8 @@
 
 // Leave shuts the daemon down gracefully: the daemon stops owning flows, hands its
 // records over to other members, lets requests in progress complete, and forwards
-// packets for a further LeaveLinger, until the fabric has stopped sending them. It
-// returns ErrLeaveTimeout if the handover takes longer than LeaveTimeout.
+// packets for a further LeaveLinger, in which the fabric stops sending them. All this
+// takes LeaveTimeout at most. Leave returns ErrLeaveTimeout if the handover takes longer.
 func (d *Daemon) Leave() error {
 	timeout := time.After(time.Duration(d.cfg.LeaveTimeout))
 	d.control.announceLeaving()
