--- a/internal/connection/caller/refresh.go
+++ b/internal/connection/caller/refresh.go
@@ -15,8 +15,8 @@
 	backupIdleFactor = 2
 )
 
-// mustRenew reports whether half of the flow's idle time has passed since the replicas
-// of its record were last confirmed.
+// mustRenew reports whether half of the flow's idle time has passed since the record was
+// last sent to its replicas or confirmed by one of them.
 func (w *packetWork) mustRenew(r *Record) bool {
 	limit := Seconds(w.service.IdleTimeout / time.Second)
 	return w.seconds > r.ReplicatedAt+limit/renewDivisor
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -15,7 +15,7 @@
 // shortened as common systems do.
 const endedRetentionSeconds = 60
 
-// proposalRetentionSeconds is how long a proposal is kept: as long as a caller
+// proposalRetentionSeconds is how long a proposal is kept: at least as long as a caller
 // retransmits its first message (RFC 7252, MAX_TRANSMIT_SPAN).
 const proposalRetentionSeconds = 60
 
--- a/internal/connection/caller/table.go
+++ b/internal/connection/caller/table.go
@@ -125,9 +125,10 @@
 	rec Record
 }
 
-// Table holds records by key. It is safe for concurrent use: each shard has a mutex. No
-// two of them are held at the same time, and none is taken while another lock is held,
-// so there is no lock order to observe.
+// Table holds records by key. It is safe for concurrent use: each shard has a mutex, and
+// no two of them are held at the same time. The functions passed to Update and Visit run
+// while a shard's mutex is held. The engine's take no other lock there than the mutex of
+// its LoadTable.
 type Table struct {
 	shards [numShards]shard
 	count  atomic.Int64
--- a/internal/process/cookiedaemon/members.go
+++ b/internal/process/cookiedaemon/members.go
@@ -74,8 +74,8 @@
 // seconds to answer, and longer with each repeated request. Afterwards, a rare request finds the
 // other side of a split that neither side noticed.
 const (
-	seedPeriod       = 300 * time.Millisecond
-	maxSeedPeriod    = 2400 * time.Millisecond
+	seedPeriod          = 300 * time.Millisecond
+	maxSeedPeriod       = 2400 * time.Millisecond
 	connectedSeedPeriod = 20 * time.Second
 )
 
--- a/internal/process/daemon/sweeper.go
+++ b/internal/process/daemon/sweeper.go
@@ -16,8 +16,8 @@
 // bounded rate.
 type sweeper struct {
 	d *Daemon
-	// mu guards all fields below. While it is held, only the engine's shards and the
-	// fabric's sender are locked, in this order.
+	// mu guards all fields below. While it is held, only the engine's shards (and its
+	// LoadTable under them) and then the fabric's sender are locked, in this order.
 	mu    sync.Mutex
 	shard int
 	out   []caller.Output
