--- a/cmd/fescueshed-cookie/main.go
+++ b/cmd/fescueshed-cookie/main.go
@@ -1,7 +1,7 @@
-// Command fescueshed-cookie is the balancer for flows that carry a cookie, and nothing
-// else: what each host runs. The same balancer is a command of fescueshed, the tool of
-// operators; there its start costs twice the processor time, which on a host with a tenth of
-// a core is 50 ms during which callers wait.
+// Command fescueshed-cookie runs the balancer that forwards flows by the cookie in their packets.
+// It is the program that each host runs, and contains nothing else. The operators' tool fescueshed
+// has the same balancer as a command, but there its start takes twice the CPU time: on a host with a
+// tenth of a core this amounts to 50 ms during which callers wait.
 package main
 
 import (
--- a/cmd/fescueshed-cookie/main_test.go
+++ b/cmd/fescueshed-cookie/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// All hosts lose power and come back together. Each package that the program links adds to
-// its start, on a host with a tenth of a core tenfold, and callers wait for it: with the other
-// carriage, the tools of operators and what they need, 20 ms more. Somebody adds an import.
-func TestLinksNothingOfTheOtherCarriage(t *testing.T) {
+// Guards against an import that makes the start slow. When all hosts restart together after a power
+// failure, callers wait for the start. Each linked package adds to it, and ten times as much on a host
+// with a tenth of a core: the Geneve data path, the operators' tools and their dependencies add 20 ms.
+func TestLinksNoGenevePathOrOperatorTools(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 		"github.com/plgd-dev/go-coap",
 	} {
 		if strings.Contains(string(out), unwanted) {
-			t.Errorf("the daemon links %s", unwanted)
+			t.Errorf("fescueshed-cookie links package %s", unwanted)
 		}
 	}
 }
--- a/cmd/fescueshed/balancer.go
+++ b/cmd/fescueshed/balancer.go
@@ -17,12 +17,12 @@
 )
 
 type balancerCommand struct {
-	Settings      string `help:"File of settings, JSON with comments." type:"path"`
-	PrintSettings bool   `help:"Print the settings with their defaults and end."`
+	Settings      string `help:"Settings file, JSON with comments." type:"path"`
+	PrintSettings bool   `help:"Print the complete settings, defaults included, and exit."`
 }
 
-// Run runs the daemon until a signal ends it. Only this command catches signals:
-// the others end by them at once.
+// Run runs the daemon until SIGTERM or SIGINT, then shuts it down gracefully. It catches these signals
+// itself: main doesn't, so that a signal ends the operators' tools immediately.
 func (c *balancerCommand) Run(ctx context.Context) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -40,9 +40,9 @@
 		return err
 	}
 	if c.Settings == "" {
-		return fmt.Errorf("balancer: --settings is needed")
+		return fmt.Errorf("balancer: --settings is required")
 	}
-	// The daemon ends after ctx, gracefully, so its parts don't live by ctx.
+	// The daemon shuts down gracefully after ctx is cancelled, so its parts must not use ctx.
 	d, cleanup, err := daemon.New(context.WithoutCancel(ctx), cfg)
 	if err != nil {
 		return err
@@ -57,12 +57,12 @@
 }
 
 type checkCommand struct {
-	Settings []string `help:"Files of settings to check." type:"path"`
-	Cookie   []string `help:"Files of settings for balancers by cookie to check." type:"path"`
-	Bundles  []string `help:"Files of bundles to check." type:"path"`
+	Settings []string `help:"Settings files of balancers to check." type:"path"`
+	Cookie   []string `help:"Settings files of balancers that forward by cookie to check." type:"path"`
+	Bundles  []string `help:"Bundle files to check." type:"path"`
 }
 
-// Run checks all files and returns all findings together.
+// Run checks all files and returns the findings of all of them in one FindingsError.
 func (c *checkCommand) Run() error {
 	var all hujson.FindingsError
 	for _, file := range c.Settings {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// collect adds findings to all and returns any other error.
+// collect appends the findings in err to all. It returns err if it is any other error.
 func collect(all *hujson.FindingsError, err error) error {
 	var f *hujson.FindingsError
 	if errors.As(err, &f) {
--- a/cmd/fescueshed/bundle.go
+++ b/cmd/fescueshed/bundle.go
@@ -10,18 +10,19 @@
 )
 
 type bundleCommands struct {
-	Prepare prepareCommand    `cmd:"" help:"Check a bundle and make it the successor of the one in force."`
-	Approve approveCommand    `cmd:"" help:"Sign a prepared bundle."`
-	Roll    rollCommand       `cmd:"" help:"Put an approved bundle in force."`
-	Status  bundleStatusShown `cmd:"" help:"Show the bundle in force."`
+	Prepare prepareCommand      `cmd:"" help:"Check a bundle and prepare it as the next version after the one in force."`
+	Approve approveCommand      `cmd:"" help:"Sign a prepared bundle."`
+	Roll    rollCommand         `cmd:"" help:"Put an approved bundle in force."`
+	Status  bundleStatusCommand `cmd:"" help:"Show the bundle in force."`
 }
 
 type platformFlags struct {
 	Platform string        `help:"URL of the platform's object service." required:""`
-	Timeout  time.Duration `help:"How long to try." default:"30s"`
+	Timeout  time.Duration `help:"Time limit, retries included." default:"30s"`
 }
 
-// client returns a client, a context with the flags' timeout, and a clean-up.
+// client returns a client of the platform, a context with the timeout of the flags, and a clean-up
+// function that releases both.
 func (f *platformFlags) client(ctx context.Context) (*platform.Client, context.Context, func()) {
 	c, stop := platform.NewClient(f.Platform)
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
@@ -33,12 +34,12 @@
 
 type prepareCommand struct {
 	platformFlags
-	By   string `help:"Name of the preparer." required:""`
-	File string `arg:"" help:"The bundle, JSON with comments." type:"path"`
-	Out  string `help:"Where to write the prepared bundle." required:"" type:"path"`
+	By   string `help:"Name of the operator who prepares the bundle." required:""`
+	File string `arg:"" help:"Bundle file, JSON with comments." type:"path"`
+	Out  string `help:"File to write the prepared bundle to." required:"" type:"path"`
 }
 
-// Run prepares the bundle.
+// Run checks the bundle, numbers it as the next version and writes it to the output file.
 func (c *prepareCommand) Run(ctx context.Context) error {
 	p, ctx, stop := c.client(ctx)
 	defer stop()
@@ -51,12 +52,12 @@
 }
 
 type approveCommand struct {
-	Key  string `help:"File of the approver's key." required:"" type:"path"`
-	File string `arg:"" help:"The prepared bundle." type:"path"`
-	Out  string `help:"Where to write the approved bundle." required:"" type:"path"`
+	Key  string `help:"Key file of the operator who approves the bundle." required:"" type:"path"`
+	File string `arg:"" help:"File of the prepared bundle." type:"path"`
+	Out  string `help:"File to write the approved bundle to." required:"" type:"path"`
 }
 
-// Run approves the bundle.
+// Run signs the prepared bundle with the approver's key and writes it to the output file.
 func (c *approveCommand) Run() error {
 	s, err := operator.Approve(c.Key, c.File, c.Out)
 	if err != nil {
@@ -68,10 +69,10 @@
 
 type rollCommand struct {
 	platformFlags
-	File string `arg:"" help:"The approved bundle." type:"path"`
+	File string `arg:"" help:"File of the approved bundle." type:"path"`
 }
 
-// Run rolls the bundle.
+// Run puts the approved bundle in force by writing it to the platform.
 func (c *rollCommand) Run(ctx context.Context) error {
 	p, ctx, stop := c.client(ctx)
 	defer stop()
@@ -83,12 +84,13 @@
 	return nil
 }
 
-type bundleStatusShown struct {
+type bundleStatusCommand struct {
 	platformFlags
 }
 
-// Run prints who made the bundle in force.
-func (c *bundleStatusShown) Run(ctx context.Context) error {
+// Run prints the version of the bundle in force, who prepared and who approved it, and the
+// identifier of the operation.
+func (c *bundleStatusCommand) Run(ctx context.Context) error {
 	p, ctx, stop := c.client(ctx)
 	defer stop()
 	s, _, err := p.Head(ctx)
@@ -96,7 +98,7 @@
 		return err
 	}
 	if s == nil {
-		fmt.Println("No bundle was rolled yet.")
+		fmt.Println("No bundle has been rolled yet.")
 		return nil
 	}
 	fmt.Printf("Version %d, prepared by %s, approved by %s, operation %s.\n",
@@ -105,16 +107,16 @@
 }
 
 type keyCommands struct {
-	New  keyNewCommand  `cmd:"" help:"Make a key."`
+	New  keyNewCommand  `cmd:"" help:"Create a key."`
 	Show keyShowCommand `cmd:"" help:"Show the public key of a key file."`
 }
 
 type keyNewCommand struct {
 	Name string `arg:"" help:"Name of the operator."`
-	File string `arg:"" help:"Where to write the key." type:"path"`
+	File string `arg:"" help:"File to write the key to." type:"path"`
 }
 
-// Run makes a key and prints its public part.
+// Run creates a key, writes it to the file and prints its public part.
 func (c *keyNewCommand) Run() error {
 	k, err := operator.NewKey(c.Name, c.File)
 	if err != nil {
@@ -125,10 +127,10 @@
 }
 
 type keyShowCommand struct {
-	File string `arg:"" help:"The key file." type:"path"`
+	File string `arg:"" help:"Key file." type:"path"`
 }
 
-// Run prints the public key.
+// Run prints the operator's name and the public key.
 func (c *keyShowCommand) Run() error {
 	k, err := operator.LoadKey(c.File)
 	if err != nil {
--- a/cmd/fescueshed/burn.go
+++ b/cmd/fescueshed/burn.go
@@ -15,22 +15,22 @@
 
 type burnCommand struct {
 	Admin     []string      `help:"Metrics addresses of the balancers." required:"" placeholder:"HOST:PORT"`
-	Objective float64       `help:"Share of requests that must be answered in time." default:"0.99"`
-	Window    time.Duration `help:"Time between two rounds of asking." default:"10s"`
-	Rounds    int           `help:"How many windows to show." default:"1"`
+	Objective float64       `help:"Share of requests that must be answered in time, more than 0 and less than 1." default:"0.99"`
+	Window    time.Duration `help:"Time between two polls of the balancers." default:"10s"`
+	Rounds    int           `help:"Number of windows to show." default:"1"`
 	JSON      bool          `help:"Print JSON, one line for each window."`
-	Timeout   time.Duration `help:"How long to wait for each balancer." default:"5s"`
+	Timeout   time.Duration `help:"Time limit for the answer of each balancer." default:"5s"`
 }
 
-// burnWindow is the report of one window.
+// burnWindow holds the burn rates at the end of one window.
 type burnWindow struct {
-	// Window is the burn of the last window, Total that since the first round.
+	// Window holds the burn rates within the window, Total those since the first poll.
 	Window, Total []status.Burn
 }
 
-// Run asks all balancers again and again and prints how fast each service uses up what
-// its objective allows: in the last window, which shows what burns now, and since the
-// command began, which a short disturbance moves little.
+// Run polls all balancers once per window and prints how fast each service uses up its error budget,
+// the share of requests that may be late, refused or fail: within the last window, which
+// shows the present rate, and since the command began, which a short disturbance changes little.
 func (c *burnCommand) Run(ctx context.Context) error {
 	if c.Objective <= 0 || c.Objective >= 1 {
 		return eris.Errorf("--objective is %v, want more than 0 and less than 1", c.Objective)
@@ -48,7 +48,7 @@
 		}
 		next, err := fetchAll(ctx, c.Admin, c.Timeout)
 		if err != nil {
-			fmt.Fprintln(os.Stderr, err) // The others' words still say something.
+			fmt.Fprintln(os.Stderr, err) // The answers of the other balancers are still useful.
 		}
 		w := burnWindow{
 			Window: status.BurnBetween(last, next, c.Objective),
--- a/cmd/fescueshed/capacity.go
+++ b/cmd/fescueshed/capacity.go
@@ -11,7 +11,8 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// Run measures and prints the slopes and what follows from them.
+// Run measures what each part costs as its size grows (the slopes) and prints the costs and the limits
+// that follow from them.
 func (c *capacityCommand) Run() error {
 	r := capacity.Measure()
 	if c.JSON {
--- a/cmd/fescueshed/experiment.go
+++ b/cmd/fescueshed/experiment.go
@@ -15,21 +15,21 @@
 )
 
 type experimentCommand struct {
-	Pattern []string `arg:"" optional:"" help:"Patterns that come with the program, or files (*.hujson); all but wide if none."`
+	Pattern []string `arg:"" optional:"" help:"Built-in patterns, or files (*.hujson); all built-in ones except wide if none is given."`
 	Policy  []string `help:"Policies to compare; all if none is given." placeholder:"NAME"`
-	Seeds   int      `help:"How many seeds to play." default:"8"`
+	Seeds   int      `help:"Number of seeds to simulate." default:"8"`
 	Seed    uint64   `help:"The first seed." default:"1"`
-	Jobs    int      `help:"Plays at once; the number of cores if zero."`
+	Jobs    int      `help:"Simulations run in parallel; the number of cores if zero."`
 	JSON    bool     `help:"Print JSON."`
-	Page    string   `help:"Write a page with plots to this file." type:"path"`
-	Quiet   bool     `help:"Show no progress."`
-	List    bool     `help:"Show the names of patterns and policies, and end."`
+	Page    string   `help:"File to write an HTML page with plots to." type:"path"`
+	Quiet   bool     `help:"Don't show progress."`
+	List    bool     `help:"List the names of patterns and policies, and exit."`
 }
 
-// widePattern is left out unless it is asked for: it takes half a minute.
+// widePattern is simulated only if it is named on the command line: it takes half a minute.
 const widePattern = "wide"
 
-// Run plays the patterns and prints how the policies did.
+// Run simulates the patterns under each policy and prints a comparison of the policies.
 func (c *experimentCommand) Run(ctx context.Context) error {
 	if c.List {
 		return c.list()
@@ -59,9 +59,9 @@
 	return r.Print(os.Stdout)
 }
 
-// showProgress keeps one line on standard error.
+// showProgress overwrites one line of standard error with the number of finished simulations.
 func showProgress(done, all int) {
-	fmt.Fprintf(os.Stderr, "\r%d of %d plays", done, all)
+	fmt.Fprintf(os.Stderr, "\r%d of %d simulations", done, all)
 	if done == all {
 		fmt.Fprintln(os.Stderr)
 	}
@@ -106,7 +106,7 @@
 	return out, nil
 }
 
-// readPattern reads a file, if the name is one, or a pattern that comes with the program.
+// readPattern reads the pattern file if name ends in .hujson, otherwise the built-in pattern of that name.
 func readPattern(name string) (*emulator.Pattern, error) {
 	if !strings.HasSuffix(name, ".hujson") {
 		return emulator.BuiltIn(name)
@@ -143,7 +143,7 @@
 		return eris.Wrap(err, "page")
 	}
 	if err := r.WritePage(f); err != nil {
-		_ = f.Close() // The first error counts.
+		_ = f.Close() // Report the first error.
 		return err
 	}
 	return eris.Wrap(f.Close(), "page")
--- a/cmd/fescueshed/explain.go
+++ b/cmd/fescueshed/explain.go
@@ -12,11 +12,12 @@
 )
 
 type explainCommand struct {
-	Caller string   `help:"The flow's caller, as its or the upstream's log gives it." required:"" placeholder:"IP:PORT"`
-	Logs   []string `arg:"" help:"Logs of balancers, one file for each host; - is standard input." type:"path"`
+	Caller string   `help:"The flow's caller, as in its or the upstream's log." required:"" placeholder:"IP:PORT"`
+	Logs   []string `arg:"" help:"Log files of balancers, one for each host; - is standard input." type:"path"`
 }
 
-// Run prints what the logs tell of a flow, in the order of time, and what it means.
+// Run prints the log lines of all balancers that concern a flow, in order of time, and an explanation
+// of what happened to it.
 func (c *explainCommand) Run() error {
 	var lines []story.Line
 	for _, name := range c.Logs {
@@ -42,6 +43,6 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "explain")
 	}
-	defer func() { _ = f.Close() }() // It was read only.
+	defer func() { _ = f.Close() }() // The file was opened for reading only.
 	return story.Parse(f, strings.TrimSuffix(filepath.Base(name), filepath.Ext(name)))
 }
--- a/cmd/fescueshed/main.go
+++ b/cmd/fescueshed/main.go
@@ -1,4 +1,4 @@
-// Command fescueshed is the balancer and the tool of its operators.
+// Command fescueshed contains the balancers of both data paths and the tools of their operators.
 package main
 
 import (
@@ -19,14 +19,14 @@
 	Balancer   balancerCommand      `cmd:"" help:"Run a balancer until SIGTERM, which ends it gracefully."`
 	Cookie     cookiedaemon.Command `cmd:"" help:"Run a balancer for flows that carry a cookie, until SIGTERM."`
 	Bundle     bundleCommands       `cmd:"" help:"Prepare, approve and roll bundles."`
-	Zone       zoneCommands         `cmd:"" help:"Evacuate a zone of balancers by cookie, and take it back."`
-	Key        keyCommands          `cmd:"" help:"Make and show operators' keys."`
-	Status     statusCommand        `cmd:"" help:"Show what a balancer knows: members, upstreams, load, drops."`
-	Capacity   capacityCommand      `cmd:"" help:"Measure what the parts cost and work out the size to design for."`
-	Report     reportCommand        `cmd:"" help:"Show what several balancers hold together: versions, load, imbalance, drops."`
-	Burn       burnCommand          `cmd:"" help:"Show how fast each service uses up what its service-level objective allows."`
-	Explain    explainCommand       `cmd:"" help:"Show what the logs of several balancers tell of one flow, and what it means."`
-	Experiment experimentCommand    `cmd:"" help:"Compare policies of placing on patterns of load, in virtual time."`
+	Zone       zoneCommands         `cmd:"" help:"Evacuate a zone for balancers that forward by cookie, or end its evacuation."`
+	Key        keyCommands          `cmd:"" help:"Create and show operators' keys."`
+	Status     statusCommand        `cmd:"" help:"Show the state of a balancer: members, upstreams, load, drops."`
+	Capacity   capacityCommand      `cmd:"" help:"Measure what each part costs and calculate the size to design for."`
+	Report     reportCommand        `cmd:"" help:"Show the combined state of several balancers: versions, load, imbalance, drops."`
+	Burn       burnCommand          `cmd:"" help:"Show how fast each service uses up its service-level objective's error budget."`
+	Explain    explainCommand       `cmd:"" help:"Show the log lines of several balancers that concern one flow, and explain them."`
+	Experiment experimentCommand    `cmd:"" help:"Compare placement policies on load patterns, simulated in virtual time."`
 	Check      checkCommand         `cmd:"" help:"Check settings and bundles and print all findings."`
 }
 
--- a/cmd/fescueshed/race_test.go
+++ b/cmd/fescueshed/race_test.go
@@ -16,8 +16,9 @@
 	standin "github.com/fescueshed/fescueshed/internal/standin/platform"
 )
 
-// raceBundle is a bundle of one service, whose slots tell who wrote it.
-const raceBundle = `{
+// bundleTemplate is a bundle of one service. The operator's number is in the service's address, the
+// round is the number of slots.
+const bundleTemplate = `{
   // Operator %[1]d, round %[2]d.
   "Services": [{
     "Name": "feed", "VNI": 7, "Protocol": "CoAP", "Addresses": ["192.0.2.%[1]d:5683"],
@@ -25,18 +26,18 @@
   }],
 }`
 
-// rollOf is what one operator's attempt at a new version came to.
-type rollOf struct {
+// rollResult is the result of one operator's attempt to roll a new version.
+type rollResult struct {
 	operator string
 	version  string
 	accepted bool
-	said     string
+	output   string
 }
 
-// Four operators prepare, approve and roll at the same time, each with the commands, while
-// the platform loses answers of writes. Each must learn whether theirs is in force: if two
-// believe so, one of them waits for a change that nobody has.
-func TestOperatorsRaceAsProcesses(t *testing.T) {
+// Four operators run the commands to prepare, approve and roll bundles concurrently, while the platform
+// loses answers to writes. Each must learn whether their bundle is in force: if two were told so, one of
+// them would wait for a change that no balancer has.
+func TestOperatorsRollConcurrently(t *testing.T) {
 	const operators, rounds = 4, 4
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "fescueshed")
@@ -51,13 +52,13 @@
 		out, err := exec.CommandContext(context.Background(), binary, args...).CombinedOutput()
 		return string(out), err
 	}
-	rolls := make([][]rollOf, operators)
+	rolls := make([][]rollResult, operators)
 	var wg sync.WaitGroup
 	for i := range operators {
-		wg.Go(func() { rolls[i] = operate(t, run, dir, server.URL, i+1, rounds) })
+		wg.Go(func() { rolls[i] = rollBundles(t, run, dir, server.URL, i+1, rounds) })
 	}
 	wg.Wait()
-	judge(t, rolls)
+	checkWinners(t, rolls)
 	head, err := run("bundle", "status", "--platform", server.URL)
 	if err != nil {
 		t.Fatal(err)
@@ -71,27 +72,27 @@
 		}
 	}
 	if !strings.HasPrefix(head, fmt.Sprintf("Version %d,", last)) {
-		t.Errorf("the last version that was accepted is %d, in force is: %s", last, head)
+		t.Errorf("last accepted version is %d, but bundle status prints: %s", last, head)
 	}
 }
 
 var (
 	preparedVersion = regexp.MustCompile(`Prepared version (\d+)`)
-	toldVersion     = regexp.MustCompile(`version (\d+) by (operator-\d+), approved by`)
+	winningVersion  = regexp.MustCompile(`version (\d+) by (operator-\d+), approved by`)
 	acceptedVersion = regexp.MustCompile(`Version (\d+) is accepted`)
 )
 
-// operate takes bundles of one operator through the commands, one after the other.
-func operate(t *testing.T, run func(...string) (string, error), dir, platform string, n, rounds int) []rollOf {
+// rollBundles prepares, approves and rolls one bundle of an operator per round, one after the other.
+func rollBundles(t *testing.T, run func(...string) (string, error), dir, platform string, n, rounds int) []rollResult {
 	name := fmt.Sprintf("operator-%d", n)
 	file := func(what string) string { return filepath.Join(dir, name+"-"+what) }
 	if out, err := run("key", "new", name+"-approver", file("key")); err != nil {
 		t.Errorf("%v\n%s", err, out)
 		return nil
 	}
-	var done []rollOf
+	var done []rollResult
 	for round := range rounds {
-		if err := os.WriteFile(file("bundle"), fmt.Appendf(nil, raceBundle, n, round+1), 0o600); err != nil {
+		if err := os.WriteFile(file("bundle"), fmt.Appendf(nil, bundleTemplate, n, round+1), 0o600); err != nil {
 			t.Error(err)
 			return nil
 		}
@@ -100,28 +101,29 @@
 			t.Errorf("%v\n%s", err, out)
 			return nil
 		}
-		r := rollOf{operator: name, version: preparedVersion.FindStringSubmatch(out)[1]}
+		r := rollResult{operator: name, version: preparedVersion.FindStringSubmatch(out)[1]}
 		if out, err := run("bundle", "approve", "--key", file("key"), "--out", file("approved"), file("prepared")); err != nil {
 			t.Errorf("%v\n%s", err, out)
 			return nil
 		}
-		r.said, err = run("bundle", "roll", "--platform", platform, file("approved"))
+		r.output, err = run("bundle", "roll", "--platform", platform, file("approved"))
 		r.accepted = err == nil
 		done = append(done, r)
 	}
 	return done
 }
 
-// judge checks that each version has one winner, and that all others were told so.
-func judge(t *testing.T, rolls [][]rollOf) {
+// checkWinners checks that each version was accepted from exactly one operator, and that the commands of
+// all others named that operator.
+func checkWinners(t *testing.T, rolls [][]rollResult) {
 	winners := make(map[string]string)
 	for _, list := range rolls {
 		for _, r := range list {
 			if !r.accepted {
 				continue
 			}
-			if m := acceptedVersion.FindStringSubmatch(r.said); m == nil || m[1] != r.version {
-				t.Errorf("%s rolled version %s and was told: %s", r.operator, r.version, r.said)
+			if m := acceptedVersion.FindStringSubmatch(r.output); m == nil || m[1] != r.version {
+				t.Errorf("%s rolled version %s, but the command printed: %s", r.operator, r.version, r.output)
 			}
 			if other := winners[r.version]; other != "" {
 				t.Errorf("version %s was accepted from %s and from %s", r.version, other, r.operator)
@@ -130,16 +132,16 @@
 		}
 	}
 	if len(winners) == 0 {
-		t.Error("nobody won")
+		t.Error("no version was accepted from any operator")
 	}
 	for _, list := range rolls {
 		for _, r := range list {
 			if r.accepted {
 				continue
 			}
-			m := toldVersion.FindStringSubmatch(r.said)
+			m := winningVersion.FindStringSubmatch(r.output)
 			if m == nil || winners[m[1]] != m[2] || winners[r.version] == "" {
-				t.Errorf("%s lost version %s to %q and was told: %s", r.operator, r.version, winners[r.version], r.said)
+				t.Errorf("%s lost version %s to %q, but the command printed: %s", r.operator, r.version, winners[r.version], r.output)
 			}
 		}
 	}
--- a/cmd/fescueshed/report.go
+++ b/cmd/fescueshed/report.go
@@ -14,11 +14,11 @@
 type reportCommand struct {
 	Admin   []string      `help:"Admin or metrics addresses of the balancers." required:"" placeholder:"HOST:PORT"`
 	JSON    bool          `help:"Print JSON."`
-	Timeout time.Duration `help:"How long to wait for each balancer." default:"5s"`
+	Timeout time.Duration `help:"Time limit for the answer of each balancer." default:"5s"`
 }
 
-// Run asks all balancers and prints what they hold together. A balancer that
-// doesn't answer is named, and makes the command fail after the report.
+// Run fetches the status of all balancers and prints their combined state. If balancers don't answer, it
+// prints the report of the others and returns an error that names the missing ones.
 func (c *reportCommand) Run(ctx context.Context) error {
 	all, missing := fetchAll(ctx, c.Admin, c.Timeout)
 	r := status.Summarize(all)
--- a/cmd/fescueshed/status.go
+++ b/cmd/fescueshed/status.go
@@ -17,9 +17,10 @@
 type statusCommand struct {
 	Admin   string        `help:"Admin or metrics address of a balancer." required:"" placeholder:"HOST:PORT"`
 	JSON    bool          `help:"Print JSON."`
-	Timeout time.Duration `help:"How long to wait." default:"5s"`
+	Timeout time.Duration `help:"Time limit for the answer." default:"5s"`
 }
 
+// barWidth is the length of a bar in characters, without its brackets.
 const barWidth = 20
 
 // Run fetches and prints a daemon's status.
@@ -40,7 +41,7 @@
 	return status.Fetch(ctx, address)
 }
 
-// fetchAll asks all daemons. Those that don't answer are named by the error.
+// fetchAll returns the status of all daemons that answer. The error names those that don't.
 func fetchAll(ctx context.Context, addresses []string, timeout time.Duration) ([]status.Status, error) {
 	var out []status.Status
 	var errs []error
@@ -77,7 +78,9 @@
 	return w.Flush()
 }
 
-// printStore prints how the store's content is known.
+// printStore prints, for each kind of the store's objects, the position up to which the daemon has them
+// and how long ago that was confirmed. After a restore of the store it prints how many upstreams the
+// daemon keeps as they were before. s may be nil.
 func printStore(w io.Writer, s *status.StoreStatus) {
 	if s == nil {
 		return
@@ -89,7 +92,7 @@
 	if s.EpochSince.IsZero() {
 		return
 	}
-	fmt.Fprintf(w, "restored %d times, heard %s; upstreams held over an older entry %d, though missing %d\n",
+	fmt.Fprintf(w, "restored %d times, last detected %s; upstreams held despite an older entry: %d, despite a missing entry: %d\n",
 		s.Epoch, s.EpochSince.Format(time.RFC3339), s.HeldOverOlder, s.HeldThoughMissing)
 }
 
@@ -110,7 +113,7 @@
 	}
 }
 
-// bar draws the busy share of an upstream's slots.
+// bar draws the share of an upstream's slots that are in use.
 func bar(busy int64, slots int) string {
 	n := int(busy) * barWidth / max(slots, 1)
 	n = min(max(n, 0), barWidth)
--- a/cmd/fescueshed/zone.go
+++ b/cmd/fescueshed/zone.go
@@ -12,17 +12,18 @@
 )
 
 type zoneCommands struct {
-	Evacuate evacuateCommand `cmd:"" help:"Let no new flow enter a zone; open flows stay."`
-	TakeBack takeBackCommand `cmd:"" help:"Let new flows enter an evacuated zone again."`
+	Evacuate evacuateCommand `cmd:"" help:"Place no new flows in a zone; open flows stay."`
+	TakeBack takeBackCommand `cmd:"" help:"End the evacuation of a zone, so that it gets new flows again."`
 }
 
 type zoneFlags struct {
 	Store   string        `help:"URL of the platform's object store, as in the balancers' settings." required:""`
-	Timeout time.Duration `help:"How long to try." default:"30s"`
-	Zone    string        `arg:"" help:"The zone."`
+	Timeout time.Duration `help:"Time limit, retries included." default:"30s"`
+	Zone    string        `arg:"" help:"Name of the zone."`
 }
 
-// zones returns the zones at the store, a context with the flags' timeout, and a clean-up.
+// zones returns access to the evacuations in the store, a context with the timeout of the flags, and a
+// clean-up function that releases both.
 func (f *zoneFlags) zones(ctx context.Context) (*operator.Zones, context.Context, func()) {
 	calls, stop := objects.NewClient(f.Store)
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
@@ -35,7 +36,8 @@
 
 type evacuateCommand struct{ zoneFlags }
 
-// Run evacuates the zone.
+// Run writes the zone's evacuation to the store, unless it is there already. A zone without registered
+// upstreams is an error.
 func (c *evacuateCommand) Run(ctx context.Context) error {
 	z, ctx, stop := c.zones(ctx)
 	defer stop()
@@ -47,13 +49,13 @@
 		fmt.Printf("Zone %s is evacuated already.\n", c.Zone)
 		return nil
 	}
-	fmt.Printf("Zone %s is evacuated. `report` shows which balancers know it and how many flows are still open there.\n", c.Zone)
+	fmt.Printf("Zone %s is evacuated. `report` shows which balancers have received this and the flows still open there.\n", c.Zone)
 	return nil
 }
 
 type takeBackCommand struct{ zoneFlags }
 
-// Run takes the zone back.
+// Run removes the zone's evacuation from the store, if there is one.
 func (c *takeBackCommand) Run(ctx context.Context) error {
 	z, ctx, stop := c.zones(ctx)
 	defer stop()
@@ -65,6 +67,6 @@
 		fmt.Printf("Zone %s wasn't evacuated.\n", c.Zone)
 		return nil
 	}
-	fmt.Printf("Zone %s is taken back.\n", c.Zone)
+	fmt.Printf("Zone %s is no longer evacuated.\n", c.Zone)
 	return nil
 }
--- a/cmd/fescueshed/zone_test.go
+++ b/cmd/fescueshed/zone_test.go
@@ -15,9 +15,9 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// An operator mistypes a zone, evacuates one twice, takes back one that wasn't evacuated, and does it
-// while the store turns calls away. Each time the command says what is so, and a zone that nobody knows
-// is never written: the zone that was meant would be switched off full of flows.
+// An operator mistypes a zone, evacuates one twice, ends an evacuation that doesn't exist, and runs the
+// command while the store refuses calls. Each time the command must report the true state. An unknown
+// zone is never written: the operator would switch off the intended zone while it still has its flows.
 func TestZoneCommandsAsProcesses(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "fescueshed")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
@@ -41,22 +41,22 @@
 		{verb: "take-back", zone: "east", says: "wasn't evacuated"},
 		{verb: "evacuate", zone: "east", says: "Zone east is evacuated.", evacuated: true},
 		{verb: "evacuate", zone: "east", says: "evacuated already", evacuated: true},
-		{verb: "take-back", zone: "east", says: "taken back"},
+		{verb: "take-back", zone: "east", says: "Zone east is no longer evacuated."},
 	} {
 		out, err := run(step.verb, step.zone)
 		if (err != nil) != step.fails || !strings.Contains(out, step.says) {
 			t.Errorf("%s %s: %v, %q, want %q", step.verb, step.zone, err, out, step.says)
 		}
 		if there := store.Content(wire.KindEvacuations, "east") != ""; there != step.evacuated {
-			t.Errorf("%s %s: entry is there: %t, want %t", step.verb, step.zone, there, step.evacuated)
+			t.Errorf("%s %s: evacuation entry in the store: %t, want %t", step.verb, step.zone, there, step.evacuated)
 		}
 	}
 	if store.Content(wire.KindEvacuations, "eats") != "" {
-		t.Error("a zone that nobody knows was written")
+		t.Error("the evacuation of an unknown zone was written")
 	}
 	store.SetTrouble(metadata.Trouble{Status: http.StatusServiceUnavailable})
 	time.AfterFunc(500*time.Millisecond, func() { store.SetTrouble(metadata.Trouble{}) })
 	if out, err := run("evacuate", "east"); err != nil || store.Content(wire.KindEvacuations, "east") == "" {
-		t.Errorf("while the store is busy: %v, %q", err, out)
+		t.Errorf("evacuate while the store refuses calls: %v, %q", err, out)
 	}
 }
