--- a/cmd/fescueshed/experiment.go
+++ b/cmd/fescueshed/experiment.go
@@ -15,7 +15,7 @@
 )
 
 type experimentCommand struct {
-	Pattern []string `arg:"" optional:"" help:"Built-in patterns, or files (*.hujson); all built-in ones except wide if none is given."`
+	Pattern []string `arg:"" optional:"" help:"Built-in patterns, or files (*.hujson); all built-in ones but wide if none is given."`
 	Policy  []string `help:"Policies to compare; all if none is given." placeholder:"NAME"`
 	Seeds   int      `help:"Number of seeds to simulate." default:"8"`
 	Seed    uint64   `help:"The first seed." default:"1"`
--- a/cmd/soak/fault.go
+++ b/cmd/soak/fault.go
@@ -12,18 +12,18 @@
 	"github.com/fescueshed/fescueshed/internal/standin/world"
 )
 
-// fault is one kind of fault of the plan. It says what it did, or nothing if it
-// didn't fit.
+// fault is one kind of fault that a run may inject.
 type fault struct {
 	name string
-	// weight is how often it comes, relative to the others.
+	// weight is how often the fault is chosen, relative to the others.
 	weight int
-	// planned faults leave the users' bounds in force.
+	// planned is set for planned changes, during which the users' bounds on time hold.
 	planned bool
-	inject  func(r *run) string
+	// inject injects the fault and describes what it did. It returns an empty text if the fault isn't possible now.
+	inject func(r *run) string
 }
 
-// Times of the faults. They overlap, since faults come more often than they end.
+// Shortest and longest duration of a fault. Faults overlap, as they are injected more often than they end.
 const (
 	minFault = 200 * time.Millisecond
 	maxFault = 3 * time.Second
@@ -37,7 +37,7 @@
 	{name: "kill many", weight: 1, inject: (*run).killMany},
 	{name: "store link", weight: 4, inject: (*run).storeLink},
 	{name: "store", weight: 3, inject: (*run).store},
-	{name: "forget history", weight: 1, inject: (*run).forget},
+	{name: "forget history", weight: 1, inject: (*run).forgetHistory},
 	{name: "store restored", weight: 2, inject: (*run).restore},
 	{name: "router cut", weight: 2, inject: (*run).routerCut},
 	{name: "peer cut", weight: 3, inject: (*run).peerCut},
@@ -50,13 +50,13 @@
 	{name: "crash", weight: 2, inject: func(r *run) string { return r.crash(false) }},
 	{name: "crash and reuse", weight: 1, inject: func(r *run) string { return r.crash(true) }},
 	{name: "restart of an upstream", weight: 3, inject: (*run).restart},
-	{name: "foreign entries", weight: 2, inject: (*run).foreign},
+	{name: "foreign entries", weight: 2, inject: (*run).replaceEntries},
 	{name: "add", weight: 3, planned: true, inject: (*run).add},
 	{name: "evacuation", weight: 2, planned: true, inject: (*run).evacuate},
 }
 
-// draw picks a fault by weight.
-func draw(rng *rand.Rand) *fault {
+// pickFault picks a fault at random by weight.
+func pickFault(rng *rand.Rand) *fault {
 	sum := 0
 	for i := range faults {
 		sum += faults[i].weight
@@ -67,27 +67,32 @@
 			return &faults[i]
 		}
 	}
-	panic("the weights add up")
+	panic("unreachable: x is less than the sum of the weights")
 }
 
-func (r *run) duration() time.Duration {
+// faultDuration returns a random duration of a fault.
+func (r *run) faultDuration() time.Duration {
 	return minFault + time.Duration(r.rng.Int64N(int64(maxFault-minFault)))
 }
 
-func (r *run) host() int { return r.rng.IntN(len(r.w.Hosts)) }
+// randomHost returns the index of a random host.
+func (r *run) randomHost() int { return r.rng.IntN(len(r.w.Hosts)) }
 
+// signal sends a signal to the daemon of a random host.
 func (r *run) signal(s syscall.Signal) string {
-	i := r.host()
+	i := r.randomHost()
 	r.procs[i].Signal(s)
-	return fmt.Sprintf("%s gets %v", r.w.Hosts[i].Name, s)
+	return fmt.Sprintf("%s receives %v", r.w.Hosts[i].Name, s)
 }
 
+// pause stops the daemon of a random host for a time.
 func (r *run) pause() string {
-	i, d := r.host(), r.duration()
+	i, d := r.randomHost(), r.faultDuration()
 	r.procs[i].Pause(d)
-	return fmt.Sprintf("%s stands still for %v", r.w.Hosts[i].Name, d)
+	return fmt.Sprintf("%s is paused for %v", r.w.Hosts[i].Name, d)
 }
 
+// killMany kills each daemon with a probability of three quarters.
 func (r *run) killMany() string {
 	for _, p := range r.procs {
 		if r.rng.IntN(4) > 0 {
@@ -97,15 +102,18 @@
 	return "most balancers are killed"
 }
 
+// storeLink sets a random fault on a random host's connections to the store for a time.
 func (r *run) storeLink() string {
-	h := r.w.Hosts[r.host()]
+	h := r.w.Hosts[r.randomHost()]
 	f := world.LinkFault(1 + r.rng.IntN(int(world.LinkFaults)-1))
-	d := r.duration()
+	d := r.faultDuration()
 	h.Proxy.Set(f)
 	time.AfterFunc(d, func() { h.Proxy.Set(world.LinkGood) })
 	return fmt.Sprintf("%s's link to the store is %v for %v", h.Name, f, d)
 }
 
+// store makes the whole store fail in a random manner for a time. A store that was deaf, that is, whose watches
+// reported no changes, forgets its history at the end.
 func (r *run) store() string {
 	troubles := map[string]metadata.Trouble{
 		"down":   {Status: http.StatusServiceUnavailable},
@@ -116,7 +124,7 @@
 		"deaf":   {Deaf: true},
 	}
 	names := []string{"down", "busy", "cut", "silent", "slow", "deaf"}
-	name, d := names[r.rng.IntN(len(names))], r.duration()
+	name, d := names[r.rng.IntN(len(names))], r.faultDuration()
 	r.w.Store.SetTrouble(troubles[name])
 	time.AfterFunc(d, func() {
 		if name == "deaf" {
@@ -127,91 +135,97 @@
 	return fmt.Sprintf("the store is %s for %v", name, d)
 }
 
-func (r *run) forget() string {
+// forgetHistory makes the store drop the history of its changes.
+func (r *run) forgetHistory() string {
 	r.w.Store.Forget()
-	return "the store forgets its history"
+	return "the store drops its history"
 }
 
-// restore restores the store from one of the latest snapshots.
+// restore makes the store unavailable for a time and then restores it from a random recent snapshot.
 func (r *run) restore() string {
-	c, d := r.snapshots[r.rng.IntN(len(r.snapshots))], r.duration()/2
+	c, d := r.snapshots[r.rng.IntN(len(r.snapshots))], r.faultDuration()/2
 	r.w.RestoreStore(c.restore, d)
-	return fmt.Sprintf("the store is away for %v and restored as it was %v ago", d, time.Since(c.at))
+	return fmt.Sprintf("the store is unavailable for %v and restored as it was %v ago", d, time.Since(c.at))
 }
 
-// storeSnapshot is a snapshot that was taken at a time.
+// storeSnapshot is a snapshot of the store with its time and the function that restores it.
 type storeSnapshot struct {
 	at      time.Time
 	restore func()
 }
 
-// snapshotAge is how old a snapshot may be when the store is lost.
+// snapshotAge is the largest age of a snapshot that the store is restored from.
 const snapshotAge = 4 * time.Second
 
-// takeSnapshot takes a snapshot and forgets those that are too old.
+// takeSnapshot takes a snapshot and drops those older than snapshotAge.
 func (r *run) takeSnapshot() {
 	r.snapshots = slices.DeleteFunc(r.snapshots, func(c storeSnapshot) bool { return time.Since(c.at) > snapshotAge })
 	r.snapshots = append(r.snapshots, storeSnapshot{at: time.Now(), restore: r.w.Store.Snapshot()})
 }
 
+// routerCut drops the callers' packets to a random host for a time.
 func (r *run) routerCut() string {
-	h, d := r.w.Hosts[r.host()], r.duration()
+	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	at := r.w.DataAddress(h)
 	r.w.Router.Cut(at, true)
 	time.AfterFunc(d, func() { r.w.Router.Cut(at, false) })
-	return fmt.Sprintf("packets to %s are lost for %v", h.Name, d)
+	return fmt.Sprintf("packets to %s are dropped for %v", h.Name, d)
 }
 
-// peerCut cuts a host off from the other hosts, both ways or one way.
+// peerCut cuts a random host off from the other hosts for a time, in both directions or in one.
 func (r *run) peerCut() string {
-	h, d := r.w.Hosts[r.host()], r.duration()
+	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	ways := []struct {
-		hears, heard bool
-		what         string
-	}{{what: "cut off from"}, {hears: true, what: "not heard by"}, {heard: true, what: "deaf to"}}
+		receives, reaches bool
+		what              string
+	}{{what: "cut off from"}, {receives: true, what: "unable to send to"}, {reaches: true, what: "unable to receive from"}}
 	way := ways[r.rng.IntN(len(ways))]
-	r.w.CutPeers(h, way.hears, way.heard, d)
+	r.w.CutPeers(h, way.receives, way.reaches, d)
 	return fmt.Sprintf("%s is %s the others for %v", h.Name, way.what, d)
 }
 
+// zoneCut cuts a random host's zone off from the other zones for a time.
 func (r *run) zoneCut() string {
-	h, d := r.w.Hosts[r.host()], r.duration()
+	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	r.w.CutZone(h.Zone, d)
 	return fmt.Sprintf("%s is cut off from the other zones for %v", h.Zone, d)
 }
 
+// upstreamCut cuts an upstream off from what the hosts send, for a time.
 func (r *run) upstreamCut() string {
-	d := r.duration()
+	d := r.faultDuration()
 	if !r.w.CutServer(d) {
 		return ""
 	}
-	return fmt.Sprintf("an upstream hears no host for %v", d)
+	return fmt.Sprintf("an upstream receives nothing from the hosts for %v", d)
 }
 
-// grow makes a bundle that is large on a thin link, after some times.
+// grow rolls a bundle with more routes. Several calls make a bundle that takes long over a slow link; beyond
+// maxGrownRoutes, the next one is small again.
 func (r *run) grow() string {
-	if r.w.Grow(grownRoutes) > maxGrown {
-		r.w.Grow(-maxGrown)
+	if r.w.Grow(routesPerGrowth) > maxGrownRoutes {
+		r.w.Grow(-maxGrownRoutes)
 	}
 	r.w.Roll()
 	return "next version, of another size"
 }
 
-// grownRoutes take 80 KB in the store's form. maxGrown keeps the bundle below the store's largest
-// object, a megabyte.
+// routesPerGrowth is the number of routes that grow adds. They take 80 KB as stored in the store. maxGrownRoutes
+// keeps the bundle below the store's limit for an object, one megabyte.
 const (
-	grownRoutes = 500
-	maxGrown    = 4000
+	routesPerGrowth = 500
+	maxGrownRoutes  = 4000
 )
 
-// thinLink gives a host the thinnest link that users have, 10 Mbit/s.
+// thinLink limits a random host's link to 10 Mbit/s for a time, the slowest link that users have.
 func (r *run) thinLink() string {
-	h, d := r.w.Hosts[r.host()], r.duration()
+	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	r.w.ThinLink(h, 10e6/8)
 	time.AfterFunc(d, func() { r.w.WideLink(h) })
 	return fmt.Sprintf("%s has a link of 10 Mbit/s for %v", h.Name, d)
 }
 
+// drain makes an upstream drain and leave.
 func (r *run) drain() string {
 	if !r.w.DrainServer() {
 		return ""
@@ -219,13 +233,15 @@
 	return "an upstream drains and leaves"
 }
 
+// crash crashes an upstream. If reuse is set, an upstream of the other service starts at its address later.
 func (r *run) crash(reuse bool) string {
 	if !r.w.CrashServer(reuse) {
 		return ""
 	}
-	return fmt.Sprintf("an upstream crashes, address used again: %v", reuse)
+	return fmt.Sprintf("an upstream crashes, address reused: %v", reuse)
 }
 
+// restart crashes an upstream and starts it again after a random time.
 func (r *run) restart() string {
 	d := time.Duration(r.rng.Int64N(int64(maxFault)))
 	if !r.w.RestartServer(d) {
@@ -234,36 +250,39 @@
 	return fmt.Sprintf("an upstream crashes and starts again after %v", d)
 }
 
-// foreign lets another writer replace entries of upstreams, which write them again later.
-func (r *run) foreign() string {
-	names, restore := r.w.ReplaceEntries(1 + r.rng.IntN(maxForeign))
-	d := r.duration()
+// replaceEntries lets another writer overwrite the store's entries of up to maxReplacedEntries upstreams. The
+// upstreams write them again after a random time.
+func (r *run) replaceEntries() string {
+	names, restore := r.w.ReplaceEntries(1 + r.rng.IntN(maxReplacedEntries))
+	d := r.faultDuration()
 	time.AfterFunc(d, restore)
-	return fmt.Sprintf("the entries of %v are another writer's for %v", names, d)
+	return fmt.Sprintf("another writer has replaced the entries of %v for %v", names, d)
 }
 
-// maxForeign is less than the upstreams of a service in one zone.
-const maxForeign = 3
+// maxReplacedEntries is less than the number of a service's upstreams in one zone.
+const maxReplacedEntries = 3
 
+// add starts an upstream of a random service in a random host's zone.
 func (r *run) add() string {
 	services := []string{world.ServiceFeed, world.ServiceSheets}
-	h := r.w.Hosts[r.host()]
-	if err := r.w.AddServer(services[r.rng.IntN(len(services))], h.Zone, r.none); err != nil {
+	h := r.w.Hosts[r.randomHost()]
+	if err := r.w.AddServer(services[r.rng.IntN(len(services))], h.Zone, r.newAddress); err != nil {
 		return ""
 	}
 	return "an upstream joins in " + h.Zone
 }
 
-// evacuationFor is how long a zone stays evacuated at least: longer than the bound, so that what
-// enters it too late shows.
-const evacuationFor = 7 * time.Second
+// minEvacuation is the shortest time that a zone stays evacuated. It is longer than the bound after which no new
+// flow may enter the zone, so that flows that enter too late are detected.
+const minEvacuation = 7 * time.Second
 
+// evacuate evacuates a random host's zone and ends the evacuation after a random time.
 func (r *run) evacuate() string {
-	zone := r.w.Hosts[r.host()].Zone
+	zone := r.w.Hosts[r.randomHost()].Zone
 	if !r.w.Evacuate(zone) {
 		return ""
 	}
-	d := evacuationFor + r.duration()
+	d := minEvacuation + r.faultDuration()
 	time.AfterFunc(d, func() { r.w.TakeBack(zone) })
 	return fmt.Sprintf("%s is evacuated for %v", zone, d)
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,7 +1,7 @@
-// Command soak runs balancers as separate processes among stand-ins on loopback,
-// injects faults from outside them by a seeded plan, and checks from what callers
-// and upstreams see that every promise is kept. It ends by itself; its exit status
-// is 1 if a promise was broken.
+// Command soak runs balancers as separate processes on loopback, with stand-ins for all other parts,
+// and injects faults into them from outside, chosen at random from a seed. From what callers and
+// upstreams see it checks that every guarantee holds. It ends after a set time, with exit status 1 if
+// a guarantee was violated. Its output calls a violated guarantee a broken promise.
 package main
 
 import (
@@ -20,14 +20,14 @@
 
 type commands struct {
 	Seed      uint64        `help:"Seed of the first run." default:"1"`
-	Seeds     int           `help:"How many runs, each with the next seed." default:"1"`
+	Seeds     int           `help:"Number of runs, each with the next seed." default:"1"`
 	Duration  time.Duration `help:"How long faults are injected in a run." default:"15s"`
-	Hosts     int           `help:"How many balancers." default:"6"`
-	Upstreams int           `help:"How many upstreams at the start." default:"18"`
-	Callers   int           `help:"How many callers." default:"40"`
+	Hosts     int           `help:"Number of balancers." default:"6"`
+	Upstreams int           `help:"Number of upstreams at the start." default:"18"`
+	Callers   int           `help:"Number of callers." default:"40"`
 	Pause     time.Duration `help:"Mean time between two faults." default:"700ms"`
-	Binary    string        `help:"The balancer's program; built from this module if not given." type:"path"`
-	Keep      string        `help:"Directory for logs, kept for failed runs only." default:"soak-logs" type:"path"`
+	Binary    string        `help:"Path of the balancer's program; built from this module if not given." type:"path"`
+	Keep      string        `help:"Directory for logs and reports, kept for failed runs only." default:"soak-logs" type:"path"`
 }
 
 const (
@@ -51,6 +51,7 @@
 	}
 }
 
+// run runs all seeds and returns the number of runs in which a guarantee was violated.
 func (c *commands) run(ctx context.Context) (int, error) {
 	if c.Hosts < minHosts || c.Hosts > maxHosts {
 		return 0, eris.Errorf("--hosts is %d, want %d to %d", c.Hosts, minHosts, maxHosts)
@@ -69,7 +70,7 @@
 		if ctx.Err() != nil {
 			return failed, eris.Wrap(ctx.Err(), "soak")
 		}
-		broken, err := c.one(ctx, binary, c.Seed+uint64(i))
+		broken, err := c.runSeed(ctx, binary, c.Seed+uint64(i))
 		if err != nil {
 			return failed, err
 		}
--- a/cmd/soak/report.go
+++ b/cmd/soak/report.go
@@ -12,10 +12,11 @@
 	"github.com/fescueshed/fescueshed/internal/standin/flows"
 )
 
-// bars are the levels of a plot, from none to all answered.
-var bars = []rune("▁▂▃▄▅▆▇█")
+// plotLevels are the characters of a plot, from no request answered to all.
+var plotLevels = []rune("▁▂▃▄▅▆▇█")
 
-// plot draws the share of requests that were answered in each second of a run.
+// plot returns one character for each second of a run, which shows the share of that second's requests that
+// were answered, or a blank if there were none.
 func plot(tallies []flows.Tally, began time.Time) string {
 	var asked, answered []int
 	for i := range tallies {
@@ -36,13 +37,13 @@
 			b.WriteRune(' ')
 			continue
 		}
-		b.WriteRune(bars[answered[s]*(len(bars)-1)/asked[s]])
+		b.WriteRune(plotLevels[answered[s]*(len(plotLevels)-1)/asked[s]])
 	}
 	return b.String()
 }
 
-// writeReport keeps what is wanted of a failed run: the plan with its times, what
-// broke, and the plot.
+// writeReport writes the report of a failed run to report.txt in dir: the plot, the injected faults with their
+// times, and the violated guarantees.
 func writeReport(dir string, r *run, o *outcome) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "began %s, answered by second: %s\n", r.began.Format("15:04:05.000"), o.plot)
--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -16,33 +16,33 @@
 	"github.com/fescueshed/fescueshed/internal/standin/world"
 )
 
-// run is one run of the soak.
+// run is the state of one run, for one seed.
 type run struct {
 	w     *world.World
 	rng   *rand.Rand
 	procs []*world.Process
 	began time.Time
-	// none asks for an upstream at an address of its own.
-	none netip.AddrPort
-	plan []string
-	// snapshots are those that the store may be restored from.
+	// newAddress is the zero value, which asks for an upstream at an address that no other has.
+	newAddress netip.AddrPort
+	plan       []string
+	// snapshots are the recent snapshots that the store can be restored from.
 	snapshots []storeSnapshot
 }
 
-// Times around the faults of a run.
+// Times of a run after its faults, and the share of requests that must be answered then.
 const (
-	// healWait is how long after the last fault has ended all must be served again:
-	// the longest fault, the lapse of a crashed upstream's entry, and the users' bound
-	// for a recovery is far more.
+	// healWait is the time from the end of the injection until all requests must be served again. It covers
+	// the longest fault and the time until a crashed upstream's entry expires. The users' bound for a recovery is
+	// far longer.
 	healWait = maxFault + 5*time.Second
-	// checkFor is the time after that over which availability is judged, leastServed
-	// the share that must be answered.
-	checkFor    = 3 * time.Second
-	leastServed = 0.98
+	// checkPeriod is the time after healWait over which availability is measured, minAnsweredShare the share of
+	// requests that must be answered in it.
+	checkPeriod      = 3 * time.Second
+	minAnsweredShare = 0.98
 )
 
-// one plays one seed. It reports whether a promise was broken.
-func (c *commands) one(ctx context.Context, binary string, seed uint64) (bool, error) {
+// runSeed runs one seed and reports whether a guarantee was violated. It keeps the logs and a report of such a run.
+func (c *commands) runSeed(ctx context.Context, binary string, seed uint64) (bool, error) {
 	dir := filepath.Join(c.Keep, fmt.Sprintf("seed-%d", seed))
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return false, eris.Wrap(err, "soak")
@@ -60,14 +60,14 @@
 	}
 	defer stop()
 	r := &run{w: w, procs: procs, rng: rand.New(rand.NewPCG(seed, 1)), began: time.Now()}
-	o, err := r.play(ctx, c)
+	o, err := r.execute(ctx, c)
 	if err != nil {
 		return false, err
 	}
 	fmt.Printf("seed %d: %d faults, %d of %d requests answered, %d broken promises\n  %s\n",
 		seed, len(r.plan), o.answered, o.requests, len(o.broken), o.plot)
 	if len(o.broken) == 0 {
-		_ = os.RemoveAll(dir) // Only the logs of failed runs are wanted.
+		_ = os.RemoveAll(dir) // Keep only the logs of failed runs.
 		return false, nil
 	}
 	for _, b := range o.broken {
@@ -76,16 +76,17 @@
 	return true, writeReport(dir, r, o)
 }
 
-// outcome is what callers and upstreams saw in a run.
+// outcome summarizes what callers and upstreams saw in a run. broken has a line for each violated guarantee.
 type outcome struct {
 	requests, answered int
 	broken             []string
 	plot               string
 }
 
-// play injects faults while callers work and judges what they and the upstreams saw.
-func (r *run) play(ctx context.Context, c *commands) (*outcome, error) {
-	work, end := context.WithTimeout(ctx, c.Duration+healWait+checkFor)
+// execute injects faults while callers send requests, and checks the guarantees from what the callers and the
+// upstreams saw.
+func (r *run) execute(ctx context.Context, c *commands) (*outcome, error) {
+	work, end := context.WithTimeout(ctx, c.Duration+healWait+checkPeriod)
 	defer end()
 	injected := make(chan struct{})
 	go func() {
@@ -104,29 +105,30 @@
 		o.requests += t.Requests
 		o.answered += t.Answered
 		o.broken = append(o.broken, t.Broken...)
-		last = append(last, healed(t)...)
+		last = append(last, afterHealing(t)...)
 	}
-	if s := share(last); s < leastServed {
+	if s := answeredShare(last); s < minAnsweredShare {
 		o.broken = append(o.broken, fmt.Sprintf("only %.3f of %d requests answered after all faults had ended", s, len(last)))
 	}
 	sort.Strings(o.broken)
 	return o, nil
 }
 
-// healed returns the outcomes of the time after all faults had ended. Requests of
-// the very end may not have had their time.
-func healed(t *flows.Tally) []flows.Outcome {
+// afterHealing returns the outcomes of the requests of the last checkPeriod, when all faults had ended. It leaves
+// out unanswered requests of that period's last two seconds, which may have had too little time for an answer.
+func afterHealing(t *flows.Tally) []flows.Outcome {
 	var out []flows.Outcome
-	since := time.Now().Add(-checkFor)
+	since := time.Now().Add(-checkPeriod)
 	for _, o := range t.Outcomes {
-		if o.At.After(since) && (o.Answered || time.Since(o.At) > checkFor-time.Second) {
+		if o.At.After(since) && (o.Answered || time.Since(o.At) > checkPeriod-time.Second) {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-func share(list []flows.Outcome) float64 {
+// answeredShare returns the share of outcomes that are answered, zero if there are none.
+func answeredShare(list []flows.Outcome) float64 {
 	n := 0
 	for _, o := range list {
 		if o.Answered {
@@ -136,13 +138,15 @@
 	return float64(n) / float64(max(1, len(list)))
 }
 
+// inject injects faults at random times for c.Duration, or until ctx ends. A fault that isn't a planned change
+// suspends the users' bounds for a time.
 func (r *run) inject(ctx context.Context, c *commands) {
 	until := time.Now().Add(c.Duration)
 	for time.Now().Before(until) && ctx.Err() == nil {
 		pause := time.Duration(r.rng.Int64N(2 * int64(c.Pause)))
 		time.Sleep(min(pause, time.Until(until)))
 		r.takeSnapshot()
-		f := draw(r.rng)
+		f := pickFault(r.rng)
 		what := f.inject(r)
 		if what == "" {
 			continue
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// TestSoak plays one short seed. What it checks doesn't depend on how fast the
-// machine is: promises about flows and answers, and that all is served again long
-// after the last fault.
+// TestSoak runs one short seed. Its checks don't depend on the speed of the machine: the guarantees
+// for flows and answers hold, and long after the last fault all requests are served again.
 func TestSoak(t *testing.T) {
-	// failedSeeds are those that ever broke a promise, with their causes. None has.
+	// failedSeeds holds seeds that once violated a guarantee, by cause. So far there is none.
 	failedSeeds := map[string]uint64{}
 	seeds := map[string]uint64{"short run": 1}
 	for name, seed := range failedSeeds {
@@ -27,7 +26,7 @@
 				t.Fatal(err)
 			}
 			if failed > 0 {
-				t.Error("a promise was broken")
+				t.Error("a guarantee was violated")
 			}
 		})
 	}
--- a/cmd/try/balancers.go
+++ b/cmd/try/balancers.go
@@ -18,26 +18,28 @@
 	"github.com/fescueshed/fescueshed/internal/version/platform"
 )
 
+// startBalancers starts the daemons that take part from the beginning of the trial.
 func (t *trial) startBalancers(ctx context.Context) error {
 	for i := range t.opts.Balancers {
 		if _, err := t.addBalancer(ctx, i); err != nil {
 			return err
 		}
 	}
-	t.say("%d balancers in %d zones", t.opts.Balancers, len(t.deploy.zones))
+	t.logf("%d balancers in %d zones", t.opts.Balancers, len(t.deploy.zones))
 	return nil
 }
 
-// addBalancer starts a daemon on a new host and puts it on the platform's list.
+// addBalancer starts a daemon on a new host and adds the host to the platform's list of hosts.
 func (t *trial) addBalancer(ctx context.Context, i int) (*balancer, error) {
 	b, err := t.startBalancer(i)
 	if err != nil {
 		return nil, err
 	}
-	return b, t.listHosts(ctx)
+	return b, t.publishHosts(ctx)
 }
 
-// startBalancer starts a daemon on a host that runs none yet.
+// startBalancer starts the daemon with index i on a new host. The platform's list of hosts doesn't
+// contain it yet.
 func (t *trial) startBalancer(i int) (*balancer, error) {
 	zone := i % len(t.deploy.zones)
 	b := &balancer{
@@ -61,6 +63,7 @@
 	return b, b.start()
 }
 
+// settings returns the settings file of the daemon on a host.
 func (t *trial) settings(h *host) []byte {
 	s := settings.Defaults()
 	s.Name, s.Zone = h.name, h.zone
@@ -75,7 +78,7 @@
 	s.Debug = true
 	b, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
-		panic(err) // Settings always encode.
+		panic(err) // Settings can always be encoded.
 	}
 	return append([]byte("// Settings of "+h.name+", written by try.\n"), b...)
 }
@@ -83,12 +86,13 @@
 func (t *trial) publicKey() []byte {
 	b, err := base64.StdEncoding.DecodeString(t.key.Public())
 	if err != nil {
-		panic(err) // The key file encodes it so.
+		panic(err) // Public returns base64.
 	}
 	return b
 }
 
-func (t *trial) listHosts(ctx context.Context) error {
+// publishHosts sets the platform's list of hosts to those of all daemons.
+func (t *trial) publishHosts(ctx context.Context) error {
 	t.mu.Lock()
 	hosts := make([]platform.Host, 0, len(t.balancers))
 	for _, b := range t.balancers {
@@ -98,16 +102,18 @@
 	return t.platform.call(ctx, methodHosts, hosts, nil)
 }
 
+// awaitReady waits until all daemons report that they are ready.
 func (t *trial) awaitReady(ctx context.Context) error {
 	for _, b := range t.balancers {
 		if err := awaitReady(ctx, b); err != nil {
 			return err
 		}
 	}
-	t.say("all balancers are ready")
+	t.logf("all balancers are ready")
 	return nil
 }
 
+// awaitReady polls the daemon's readiness endpoint until it answers 200, for at most readyTimeout.
 func awaitReady(ctx context.Context, b *balancer) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -125,7 +131,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s didn't become ready within %v", b.name, readyTimeout)
+			return fmt.Errorf("%s did not become ready within %v", b.name, readyTimeout)
 		case <-time.After(readyPoll):
 		}
 	}
--- a/cmd/try/cookie.go
+++ b/cmd/try/cookie.go
@@ -12,13 +12,14 @@
 	"github.com/fescueshed/fescueshed/internal/standin/world"
 )
 
-// The sizes of a calm trial with flows that carry a cookie.
+// Sizes of a trial of the cookie data path.
 const (
 	cookieUpstreams = 18
 	cookieCallers   = 40
 )
 
-// runCookie plays a trial with flows that carry a cookie. The soak injects faults at random.
+// runCookie runs a trial of the cookie data path with the failures named on the command line. For faults
+// at random times see cmd/soak.
 func (c *runCommand) runCookie(ctx context.Context) error {
 	failures, err := findCookieFailures(c.Failure)
 	if err != nil {
@@ -57,11 +58,11 @@
 	if err != nil {
 		return err
 	}
-	return c.judgeCookie(w, tallies)
+	return c.reportCookie(w, tallies)
 }
 
-// judgeCookie prints what callers saw, and returns an error if a promise was broken.
-func (c *runCommand) judgeCookie(w *world.World, tallies []flows.Tally) error {
+// reportCookie prints the results of the callers, and returns an error if a guarantee was violated.
+func (c *runCommand) reportCookie(w *world.World, tallies []flows.Tally) error {
 	broken := w.Finish()
 	requests, answered, opened := 0, 0, 0
 	for i := range tallies {
--- a/cmd/try/cookiefailure.go
+++ b/cmd/try/cookiefailure.go
@@ -12,31 +12,32 @@
 	"github.com/fescueshed/fescueshed/internal/standin/world"
 )
 
-// cookieFailure is something that goes wrong, or is changed as planned, while callers work with flows that carry a
-// cookie.
+// cookieFailure is a failure or a planned change that a trial of the cookie data path injects while callers send
+// requests.
 type cookieFailure struct {
-	what string
-	// after is when it begins.
-	after time.Duration
+	description string
+	// delay is the time from the start of the callers to the failure.
+	delay time.Duration
 	run   func(w *world.World, procs []*world.Process)
 }
 
-// Times of the failures. The store is stable for long enough before an upstream drains that the bound for it holds.
+// Times of the failures. An upstream drains so late that the store has been stable for long enough: the bound on
+// the time of a drain holds only then.
 const (
 	restoreAfter = 3 * time.Second
-	storeAway    = time.Second
+	storeOutage  = time.Second
 	cutFor       = 4 * time.Second
 	drainAfter   = 10 * time.Second
-	// lostWrites are more than what is written again after the return, so that a drain comes under a revision that
-	// the balancers have seen.
+	// lostWrites is the number of writes that the restore loses. It is larger than the number of objects written
+	// again afterwards, so that a drain after the restore gets a revision that the balancers have already seen.
 	lostWrites = 200
 )
 
 var cookieFailures = map[string]cookieFailure{
-	"store-restore":  {"the store is away for a second and is restored from a snapshot", restoreAfter, restoreStore},
+	"store-restore":  {"the store is unavailable for a second and is restored from a snapshot", restoreAfter, restoreStore},
 	"upstream-drain": {"an upstream drains and leaves", drainAfter, drainServer},
-	"balancer-kill":  {"a balancer dies without notice", restoreAfter + storeAway, killBalancer},
-	"zone-cut":       {"a zone is cut off from the others for four seconds and healed", restoreAfter, cutZone},
+	"balancer-kill":  {"a balancer is killed without notice", restoreAfter + storeOutage, killBalancer},
+	"zone-cut":       {"a zone is cut off from the others for four seconds", restoreAfter, cutZone},
 }
 
 func restoreStore(w *world.World, _ []*world.Process) {
@@ -44,15 +45,15 @@
 	for range lostWrites {
 		w.Rewrite()
 	}
-	w.Disturbed(2 * storeAway)
-	// The balancers must have heard what is lost.
-	time.AfterFunc(storeAway, func() { w.RestoreStore(restore, storeAway) })
+	w.Disturbed(2 * storeOutage)
+	// Wait until the balancers have received the writes that the restore loses.
+	time.AfterFunc(storeOutage, func() { w.RestoreStore(restore, storeOutage) })
 }
 
 func drainServer(w *world.World, _ []*world.Process) { w.DrainServer() }
 
 func killBalancer(w *world.World, procs []*world.Process) {
-	w.Disturbed(storeAway)
+	w.Disturbed(storeOutage)
 	procs[0].Signal(syscall.SIGKILL)
 }
 
@@ -61,7 +62,7 @@
 	w.CutZone(w.Hosts[0].Zone, cutFor)
 }
 
-// findCookieFailures returns the failures of some names.
+// findCookieFailures returns the failures with the given names, or an error if there is none of a name.
 func findCookieFailures(names []string) ([]cookieFailure, error) {
 	var out []cookieFailure
 	for _, n := range names {
@@ -75,12 +76,12 @@
 	return out, nil
 }
 
-// startCookieFailures brings failures about, each at its time.
+// startCookieFailures schedules each failure at its time, until ctx ends.
 func startCookieFailures(ctx context.Context, list []cookieFailure, w *world.World, procs []*world.Process) {
 	began := time.Now()
 	for _, f := range list {
-		t := time.AfterFunc(f.after, func() {
-			fmt.Printf("%6.1fs  %s\n", time.Since(began).Seconds(), f.what)
+		t := time.AfterFunc(f.delay, func() {
+			fmt.Printf("%6.1fs  %s\n", time.Since(began).Seconds(), f.description)
 			f.run(w, procs)
 		})
 		context.AfterFunc(ctx, func() { t.Stop() })
--- a/cmd/try/deployment.go
+++ b/cmd/try/deployment.go
@@ -8,37 +8,37 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// deployment is the size of one of the users' installations.
+// deployment holds the sizes of one of the users' installations.
 type deployment struct {
 	zones    []bundle.Zone
 	services []serviceSize
-	// clientDelay is the time to a caller, one way.
+	// clientDelay is the one-way network delay between a caller and the fabric.
 	clientDelay time.Duration
 }
 
+// serviceSize holds the sizes of one service and the load that its callers produce.
 type serviceSize struct {
-	name      string
-	team      string
-	vni       bundle.VNI
-	upstreams int
-	slots     int
-	callers   int
-	period    time.Duration
-	feed      time.Duration
-	work      time.Duration
+	name        string
+	team        string
+	vni         bundle.VNI
+	upstreams   int
+	slots       int
+	callers     int
+	period      time.Duration
+	feed        time.Duration
+	serviceTime time.Duration
 }
 
-// Load of a trial: few enough callers that one machine carries them beside
-// thirty processes.
+// Load of a trial. The callers are few enough that one machine can run them beside thirty processes.
 const (
-	callersOfMain    = 60
-	callersOfSecond  = 12
-	requestPeriod    = 600 * time.Millisecond
-	feedPeriod       = 500 * time.Millisecond
-	requestWork      = 20 * time.Millisecond
-	connections      = 2000
-	upstreamsOfMain  = 14
-	upstreamsOfOther = 4
+	callersOfFirst     = 60
+	callersOfSecond    = 12
+	requestPeriod      = 600 * time.Millisecond
+	feedPeriod         = 500 * time.Millisecond
+	requestServiceTime = 20 * time.Millisecond
+	connections        = 2000
+	upstreamsOfFirst   = 14
+	upstreamsOfSecond  = 4
 )
 
 func deployments() map[string]deployment {
@@ -59,18 +59,18 @@
 func twoServices(first, second, team string, slots int) []serviceSize {
 	return []serviceSize{
 		{
-			name: first, team: team, vni: 101, upstreams: upstreamsOfMain, slots: slots,
-			callers: callersOfMain, period: requestPeriod, feed: feedPeriod, work: requestWork,
+			name: first, team: team, vni: 101, upstreams: upstreamsOfFirst, slots: slots,
+			callers: callersOfFirst, period: requestPeriod, feed: feedPeriod, serviceTime: requestServiceTime,
 		},
 		{
-			name: second, team: team, vni: 102, upstreams: upstreamsOfOther, slots: slots,
-			callers: callersOfSecond, period: requestPeriod, feed: feedPeriod, work: requestWork,
+			name: second, team: team, vni: 102, upstreams: upstreamsOfSecond, slots: slots,
+			callers: callersOfSecond, period: requestPeriod, feed: feedPeriod, serviceTime: requestServiceTime,
 		},
 	}
 }
 
-// Addresses of a trial, all in 127.0.0.0/8. Each host has an IP address of its
-// own, so that senders are told apart as on a network.
+// Ports of a trial's addresses, which are all in 127.0.0.0/8. Each host has its own IP address, so that
+// receivers can tell senders apart as on a real network.
 const (
 	dataPort     = 6081
 	controlPort  = 6082
@@ -83,6 +83,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(net), byte(a), byte(b)}), uint16(port))
 }
 
+// Second bytes of the addresses, by role.
 const (
 	netBalancer = 101 + iota
 	netUpstream
@@ -100,7 +101,7 @@
 	return address(netUpstream, service+1, n+1, dataPort)
 }
 
-// bundle writes the deployment's bundle.
+// bundle returns the deployment's bundle, in which no upstream drains.
 func (d *deployment) bundle() *bundle.Bundle {
 	var b bundle.Bundle
 	for i, s := range d.services {
--- a/cmd/try/failure.go
+++ b/cmd/try/failure.go
@@ -18,29 +18,27 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// failure is something that goes wrong, or is changed as planned, while callers
-// work.
+// failure is a failure or a planned change that a trial injects while callers send requests.
 type failure struct {
-	what string
-	run  func(ctx context.Context, t *trial) error
+	description string
+	run         func(ctx context.Context, t *trial) error
 }
 
-// fabricLag is how long the fabric goes on sending to a balancer that is gone
-// or leaving.
+// fabricLag is how long the fabric keeps sending to a balancer after it died or began to leave.
 const fabricLag = time.Second
 
 func failures() map[string]failure {
 	return map[string]failure{
-		"balancer-kill":           {"a balancer dies without notice", killOne},
-		"two-kills":               {"two balancers of different zones die at once", killTwo},
-		"balancer-restart-all":    {"every balancer is replaced, one after the other, gracefully", restartAll},
+		"balancer-kill":           {"a balancer is killed without notice", killOne},
+		"two-kills":               {"two balancers of different zones are killed at the same time", killTwo},
+		"balancer-restart-all":    {"every balancer is restarted gracefully, one after the other", restartAll},
 		"balancer-join":           {"a new balancer joins", join},
-		"balancer-freeze":         {"a balancer is paused for four seconds and goes on", freeze},
-		"kill-during-handover":    {"a balancer is killed while it hands its records over", killLeaving},
-		"zone-cut":                {"a zone is cut off from the others for six seconds and healed", zoneCut},
-		"balancer-boot-in-outage": {"a new balancer joins while the platform is down", bootInOutage},
-		"upstream-drain":          {"a bundle is rolled that drains two upstreams", drain},
-		"platform-down":           {"the platform's service is down from then on", platformDown},
+		"balancer-freeze":         {"a balancer is paused for four seconds and resumed", freeze},
+		"kill-during-handover":    {"a balancer is killed while it hands its flow records over", killLeaving},
+		"zone-cut":                {"a zone is cut off from the others for six seconds", zoneCut},
+		"balancer-boot-in-outage": {"a new balancer joins while the platform is down", joinInOutage},
+		"upstream-drain":          {"a bundle that drains two upstreams is rolled", drain},
+		"platform-down":           {"the platform's service goes down and stays down", platformDown},
 	}
 }
 
@@ -52,16 +50,18 @@
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		fmt.Printf("%-22s %s\n", n, table[n].what)
+		fmt.Printf("%-22s %s\n", n, table[n].description)
 	}
 	fmt.Println("\nwith --carriage cookie:")
 	for _, n := range slices.Sorted(maps.Keys(cookieFailures)) {
-		fmt.Printf("%-22s %s\n", n, cookieFailures[n].what)
+		fmt.Printf("%-22s %s\n", n, cookieFailures[n].description)
 	}
 }
 
+// settleTime is how long callers work before a failure is injected.
 const settleTime = 3 * time.Second
 
+// pause waits for d. It returns the error of ctx if that ends earlier.
 func pause(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -79,13 +79,13 @@
 	return t.kill(ctx, 1, 2)
 }
 
-// kill ends balancers without notice. The fabric learns of it later.
+// kill kills the balancers with the given indexes. The fabric stops sending to them fabricLag later.
 func (t *trial) kill(ctx context.Context, numbers ...int) error {
 	if err := pause(ctx, settleTime); err != nil {
 		return err
 	}
 	for _, n := range numbers {
-		t.say("%s is killed", t.balancers[n].name)
+		t.logf("%s is killed", t.balancers[n].name)
 		t.balancers[n].signal(syscall.SIGKILL)
 	}
 	if err := pause(ctx, fabricLag); err != nil {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// restartAll replaces each balancer: it leaves, the fabric stops sending to it,
-// it ends, and a new process takes its place.
+// restartAll restarts all balancers, one after the other. Each begins to leave, the fabric stops sending to
+// it, it ends, and a new process starts in its place.
 func restartAll(ctx context.Context, t *trial) error {
 	if err := pause(ctx, settleTime); err != nil {
 		return err
@@ -127,7 +127,7 @@
 		if err := t.setRouted(ctx, b, true); err != nil {
 			return err
 		}
-		t.say("%s is replaced; it left within %.1fs", b.name, left.Seconds())
+		t.logf("%s is replaced; it left within %.1fs", b.name, left.Seconds())
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 	if err := awaitReady(ctx, b); err != nil {
 		return err
 	}
-	t.say("%s joined", b.name)
+	t.logf("%s joined", b.name)
 	return t.setRouted(ctx, b, true)
 }
 
@@ -154,11 +154,11 @@
 		return err
 	}
 	b := t.balancers[0]
-	t.say("%s is paused", b.name)
+	t.logf("%s is paused", b.name)
 	b.signal(syscall.SIGSTOP)
 	err := pause(ctx, freezeTime)
 	b.signal(syscall.SIGCONT)
-	t.say("%s goes on", b.name)
+	t.logf("%s is resumed", b.name)
 	return err
 }
 
@@ -166,11 +166,11 @@
 	if err := pause(ctx, settleTime); err != nil {
 		return err
 	}
-	t.say("the platform is down")
+	t.logf("the platform is down")
 	return t.platform.call(ctx, methodFaults, struct{ Down bool }{true}, nil)
 }
 
-// killLeaving kills a balancer shortly after it was told to leave.
+// killLeaving kills a balancer shortly after SIGTERM, while it leaves gracefully.
 func killLeaving(ctx context.Context, t *trial) error {
 	if err := pause(ctx, settleTime); err != nil {
 		return err
@@ -181,7 +181,7 @@
 	if err := pause(ctx, leaving); err != nil {
 		return err
 	}
-	t.say("%s is killed while it leaves", b.name)
+	t.logf("%s is killed while it leaves", b.name)
 	b.signal(syscall.SIGKILL)
 	if err := pause(ctx, fabricLag); err != nil {
 		return err
@@ -191,8 +191,7 @@
 
 const cutTime = 6 * time.Second
 
-// zoneCut blocks all that goes between the first zone's balancers and the hosts
-// of the other zones.
+// zoneCut blocks all traffic between the first zone's balancers and the hosts of the other zones.
 func zoneCut(ctx context.Context, t *trial) error {
 	if err := pause(ctx, settleTime); err != nil {
 		return err
@@ -200,17 +199,17 @@
 	if err := t.cut(ctx, true); err != nil {
 		return err
 	}
-	t.say("%s is cut off", t.deploy.zones[0])
+	t.logf("%s is cut off", t.deploy.zones[0])
 	err := pause(ctx, cutTime)
 	if healErr := t.cut(context.WithoutCancel(ctx), false); err == nil {
 		err = healErr
 	}
-	t.say("%s is healed", t.deploy.zones[0])
+	t.logf("%s is connected again", t.deploy.zones[0])
 	return err
 }
 
-// cut sets what each balancer is cut off from. A caller's flow stays on the side
-// of its upstream, as the fabric of a cut network does.
+// cut blocks traffic between the first zone and the others at each balancer if on is set, otherwise it lifts
+// the block. A caller's flow stays on the side of its upstream, as with the fabric of a partitioned network.
 func (t *trial) cut(ctx context.Context, on bool) error {
 	first := t.deploy.zones[0]
 	for _, b := range t.balancers {
@@ -232,7 +231,7 @@
 	addr netip.Addr
 }
 
-// addresses returns where balancers and upstreams are.
+// addresses returns the address and the zone of each balancer and upstream.
 func (t *trial) addresses() []zonedAddress {
 	var out []zonedAddress
 	for _, b := range t.balancers {
@@ -246,7 +245,7 @@
 	return out
 }
 
-// block tells a balancer which networks not to speak with.
+// block sets the networks that a balancer exchanges no packets with, over its debug endpoint.
 func (b *balancer) block(ctx context.Context, networks []netip.Prefix) error {
 	body, err := json.Marshal(networks)
 	if err != nil {
@@ -267,9 +266,9 @@
 	return nil
 }
 
-// bootInOutage starts a balancer that can learn of members and bundle from other
-// balancers only.
-func bootInOutage(ctx context.Context, t *trial) error {
+// joinInOutage starts a balancer while the platform is down, so that it can obtain the members and the bundle
+// from other balancers only.
+func joinInOutage(ctx context.Context, t *trial) error {
 	if err := platformDown(ctx, t); err != nil {
 		return err
 	}
@@ -280,11 +279,11 @@
 	if err := awaitReady(ctx, b); err != nil {
 		return err
 	}
-	t.say("%s joined without the platform", b.name)
+	t.logf("%s joined without the platform", b.name)
 	return t.setRouted(ctx, b, true)
 }
 
-// drain rolls a second bundle through the operators' commands.
+// drain rolls a second bundle with the operators' commands. In it, the first upstream of each service drains.
 func drain(ctx context.Context, t *trial) error {
 	if err := pause(ctx, settleTime); err != nil {
 		return err
--- a/cmd/try/main.go
+++ b/cmd/try/main.go
@@ -1,6 +1,7 @@
-// Command try runs the whole path on loopback: the product's own balancers and
-// the stand-ins for platform, fabric, upstreams and callers, each as a process
-// of its own. It ends by itself and says whether every promise was kept.
+// Command try runs a complete deployment on loopback: the real balancers and stand-ins for platform,
+// fabric, upstreams and callers, each as a separate process. It ends after a set time and reports
+// whether every guarantee to callers and upstreams held. Its output calls a violated guarantee a
+// broken promise.
 package main
 
 import (
@@ -15,7 +16,7 @@
 
 type commands struct {
 	Run     runCommand     `cmd:"" default:"withargs" help:"Run a trial."`
-	StandIn standInCommand `cmd:"" hidden:"" help:"Run one stand-in; used by the trial itself."`
+	StandIn standInCommand `cmd:"" hidden:"" help:"Run one stand-in process; started by the trial itself."`
 }
 
 func main() {
@@ -24,7 +25,7 @@
 	var c commands
 	k := kong.Parse(&c,
 		kong.Name("try"),
-		kong.Description("Run the whole path on loopback, with failures if wanted."),
+		kong.Description("Run a complete deployment on loopback, with failures on request."),
 		kong.UsageOnError(),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	if err := k.Run(); err != nil {
--- a/cmd/try/process.go
+++ b/cmd/try/process.go
@@ -16,7 +16,7 @@
 	"github.com/fescueshed/fescueshed/internal/standin/jsonrpc"
 )
 
-// standIn is a stand-in process with the connection to it.
+// standIn is a running stand-in process and the RPC connection to it.
 type standIn struct {
 	name  string
 	cmd   *exec.Cmd
@@ -24,7 +24,8 @@
 	rpc   *jsonrpc.Client
 }
 
-// startStandIn starts this program again as a stand-in.
+// startStandIn starts this program again with the command that runs one stand-in, and waits until it answers.
+// Its log goes to a file in logDir.
 func startStandIn(ctx context.Context, kind, name, logDir string, cfg any) (*standIn, error) {
 	b, err := json.Marshal(cfg)
 	if err != nil {
@@ -55,6 +56,7 @@
 
 const callTimeout = 15 * time.Second
 
+// call calls a method of the stand-in, for at most callTimeout. params and result may be nil.
 func (s *standIn) call(ctx context.Context, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -67,7 +69,7 @@
 	return eris.Wrap(s.rpc.Call(ctx, method, params, result), s.name)
 }
 
-// stop ends the stand-in and waits for it.
+// stop ends the stand-in by closing its standard input and waits for its exit.
 func (s *standIn) stop() {
 	_ = s.stdin.Close()
 	waitOrKill(s.cmd)
@@ -75,13 +77,14 @@
 
 const stopTimeout = 5 * time.Second
 
+// waitOrKill waits for the process to exit and kills it after stopTimeout.
 func waitOrKill(cmd *exec.Cmd) {
 	t := time.AfterFunc(stopTimeout, func() { _ = cmd.Process.Kill() })
 	defer t.Stop()
 	_ = cmd.Wait()
 }
 
-// balancer is one of the product's daemons.
+// balancer is one of the balancer processes under test.
 type balancer struct {
 	host
 	binary, settings string
@@ -91,7 +94,7 @@
 	exitErr          error
 }
 
-// start starts the daemon. Its log goes on where that of an earlier run ended.
+// start starts the daemon. It appends to the log of an earlier run.
 func (b *balancer) start() error {
 	log, err := os.OpenFile(b.logFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -117,7 +120,8 @@
 	_ = b.cmd.Process.Signal(sig)
 }
 
-// wait waits for the daemon's end and kills it if that takes too long.
+// wait waits for the daemon to exit and returns its error. If that takes longer than limit, it kills the daemon
+// and returns an error.
 func (b *balancer) wait(limit time.Duration) error {
 	select {
 	case <-b.exited:
@@ -125,16 +129,16 @@
 	case <-time.After(limit):
 		_ = b.cmd.Process.Kill()
 		<-b.exited
-		return fmt.Errorf("%s didn't end within %v", b.name, limit)
+		return fmt.Errorf("%s did not exit within %v", b.name, limit)
 	}
 }
 
-// buildProduct builds the daemon from this module.
-func buildProduct(ctx context.Context, dir string) (string, error) {
+// buildBalancer builds the daemon from this module into dir and returns the program's path.
+func buildBalancer(ctx context.Context, dir string) (string, error) {
 	binary := filepath.Join(dir, "fescueshed")
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", binary, "github.com/fescueshed/fescueshed/cmd/fescueshed")
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the balancer: %w\n%s", err, out)
+		return "", fmt.Errorf("building the balancer failed: %w\n%s", err, out)
 	}
 	return binary, nil
 }
--- a/cmd/try/result.go
+++ b/cmd/try/result.go
@@ -9,6 +9,7 @@
 	"github.com/fescueshed/fescueshed/internal/standin/ledger"
 )
 
+// progress prints the sums of all callers so far.
 func (t *trial) progress(ctx context.Context) {
 	var sum ledger.Report
 	for _, c := range t.callers {
@@ -20,10 +21,11 @@
 		sum.Answered += l.Answered
 		sum.Flows += l.Flows
 	}
-	t.say("%d flows open, %d of %d requests answered", sum.Flows, sum.Answered, sum.Requests)
+	t.logf("%d flows open, %d of %d requests answered", sum.Flows, sum.Answered, sum.Requests)
 }
 
-// collect ends the callers and reads all ledgers.
+// collect ends the callers, reads the ledgers of all callers and upstreams, and merges them. It also returns a
+// line for each broken flow.
 func (t *trial) collect(ctx context.Context) (ledger.Report, []string, error) {
 	callers := make([]ledger.Caller, len(t.callers))
 	var broken []string
--- a/cmd/try/roll.go
+++ b/cmd/try/roll.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// roll takes the bundle through the operators' own commands.
+// roll prepares, approves and rolls the deployment's first bundle with the operators' commands.
 func (t *trial) roll(ctx context.Context) error {
 	src, err := json.MarshalIndent(t.deploy.bundle(), "", "  ")
 	if err != nil {
@@ -20,6 +20,7 @@
 	return t.rollContent(ctx, append([]byte("// First bundle of the trial.\n"), src...))
 }
 
+// rollContent prepares, approves and rolls a bundle with the operators' commands.
 func (t *trial) rollContent(ctx context.Context, src []byte) error {
 	file := func(name string) string { return filepath.Join(t.dir, name) }
 	if err := os.WriteFile(file("bundle.hujson"), src, fileMode); err != nil {
@@ -35,7 +36,7 @@
 		if err != nil {
 			return fmt.Errorf("%v: %w\n%s", args[:2], err, out)
 		}
-		t.say("%s", out[:max(len(out)-1, 0)])
+		t.logf("%s", out[:max(len(out)-1, 0)])
 	}
 	return nil
 }
--- a/cmd/try/run.go
+++ b/cmd/try/run.go
@@ -12,17 +12,17 @@
 )
 
 type runCommand struct {
-	Carriage   string        `help:"How flows are carried." enum:"geneve,cookie" default:"geneve"`
-	Deployment string        `help:"Whose sizes to use." enum:"kandy,pfarrbrief" default:"kandy"`
-	Balancers  int           `help:"How many balancers to start, spread over the zones." default:"6"`
-	Seconds    int           `help:"How long callers work." default:"12"`
+	Carriage   string        `help:"Data path: Geneve, or by cookie." enum:"geneve,cookie" default:"geneve"`
+	Deployment string        `help:"Deployment whose sizes to use." enum:"kandy,pfarrbrief" default:"kandy"`
+	Balancers  int           `help:"Number of balancers to start, spread over the zones." default:"6"`
+	Seconds    int           `help:"How long callers send requests, in seconds." default:"12"`
 	Seed       uint64        `help:"Seed of the callers' choices." default:"1"`
-	Failure    []string      `help:"Failures to bring about, by name; see --list-failures."`
-	ListFails  bool          `name:"list-failures" help:"List the failures and end."`
-	JSON       bool          `name:"json" help:"Print the outcome as JSON in one last line."`
-	Binary     string        `help:"The balancer's program; built from this module if not given." type:"path"`
+	Failure    []string      `help:"Names of failures to inject; see --list-failures."`
+	ListFails  bool          `name:"list-failures" help:"List the failures and exit."`
+	JSON       bool          `name:"json" help:"Print the report as JSON in a last line."`
+	Binary     string        `help:"Path of the balancer's program; built from this module if not given." type:"path"`
 	Keep       bool          `help:"Keep the directory with logs and settings."`
-	Callers    int           `help:"Callers of the first service; 0 takes the deployment's." default:"0"`
+	Callers    int           `help:"Number of callers of the first service; 0 for that of the deployment." default:"0"`
 	Period     time.Duration `help:"Mean time between a caller's requests." default:"600ms"`
 }
 
@@ -31,7 +31,7 @@
 	maxBalancers = 60
 )
 
-// Run runs one trial.
+// Run runs one trial. It returns an error if a guarantee was violated.
 func (c *runCommand) Run(ctx context.Context) error {
 	if c.ListFails {
 		listFailures()
@@ -61,23 +61,22 @@
 	if err := t.start(ctx); err != nil {
 		return err
 	}
-	if err := t.work(ctx, fails); err != nil {
+	if err := t.runTraffic(ctx, fails); err != nil {
 		return err
 	}
 	return t.finish(ctx)
 }
 
-// finish collects the ledgers, prints the report and returns an error if a
-// promise was broken.
+// finish collects the ledgers, prints the report and returns an error if a guarantee was violated.
 func (t *trial) finish(ctx context.Context) error {
 	r, broken, err := t.collect(ctx)
 	if err != nil {
 		return err
 	}
-	t.say("%d requests: %d answered, %d refused as not run, %d with unknown outcome, %d without any answer",
+	t.logf("%d requests: %d answered, %d refused as not run, %d with unknown outcome, %d without any answer",
 		r.Requests, r.Answered, r.Refused, r.Unknown, r.TimedOut)
 	for _, b := range broken {
-		t.say("broken: %s", b)
+		t.logf("broken: %s", b)
 	}
 	printReport(&r)
 	if t.opts.JSON {
@@ -93,17 +92,19 @@
 	return nil
 }
 
-func (t *trial) say(format string, args ...any) {
+// logf prints a line with the seconds since the trial began.
+func (t *trial) logf(format string, args ...any) {
 	fmt.Printf("%6.1fs  %s\n", time.Since(t.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
+// findFailures returns the failures with the given names, or an error if there is none of a name.
 func findFailures(names []string) ([]failure, error) {
 	table := failures()
 	var out []failure
 	for _, n := range names {
 		f, ok := table[strings.TrimSpace(n)]
 		if !ok {
-			return nil, fmt.Errorf("no failure is named %q; --list-failures lists them", n)
+			return nil, fmt.Errorf("no failure is named %q; see --list-failures", n)
 		}
 		out = append(out, f)
 	}
--- a/cmd/try/standin.go
+++ b/cmd/try/standin.go
@@ -20,7 +20,7 @@
 	platformclient "github.com/fescueshed/fescueshed/internal/version/platform"
 )
 
-// Methods of the stand-in processes.
+// RPC methods of the stand-in processes.
 const (
 	methodBalancers = "Balancers.Set"
 	methodHosts     = "Hosts.Set"
@@ -31,14 +31,13 @@
 	methodReady     = "Ready"
 )
 
-// standInCommand runs one stand-in until its standard input ends, so that none
-// outlives the trial.
+// standInCommand runs one stand-in until its standard input is closed, so that no stand-in outlives the trial.
 type standInCommand struct {
-	Kind   string `arg:"" enum:"platform,fabric,upstream,caller" help:"Which stand-in."`
+	Kind   string `arg:"" enum:"platform,fabric,upstream,caller" help:"Kind of the stand-in."`
 	Config string `arg:"" help:"Its configuration as JSON."`
 }
 
-// Run runs the stand-in.
+// Run starts the stand-in and serves its RPC methods on standard input and output.
 func (c *standInCommand) Run(ctx context.Context) error {
 	start := map[string]func([]byte) (map[string]jsonrpc.Method, func(), error){
 		"platform": startPlatform,
@@ -63,16 +62,16 @@
 	return cfg, eris.Wrap(json.Unmarshal(src, &cfg), "configuration")
 }
 
-// set makes a method of a function that returns nothing.
-func set[P any](f func(P)) jsonrpc.Method {
+// setMethod returns an RPC method that calls f with the parameters and returns nothing.
+func setMethod[P any](f func(P)) jsonrpc.Method {
 	return jsonrpc.Typed(func(_ context.Context, p P) (jsonrpc.None, error) {
 		f(p)
 		return jsonrpc.None{}, nil
 	})
 }
 
-// get makes a method of a function without parameters.
-func get[R any](f func() R) jsonrpc.Method {
+// getMethod returns an RPC method without parameters that returns the result of f.
+func getMethod[R any](f func() R) jsonrpc.Method {
 	return jsonrpc.Typed(func(context.Context, jsonrpc.None) (R, error) { return f(), nil })
 }
 
@@ -96,9 +95,9 @@
 	srv := &http.Server{Handler: s, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = srv.Serve(l) }()
 	return map[string]jsonrpc.Method{
-		methodHosts:  set(func(h []platformclient.Host) { s.SetHosts(h) }),
-		methodFaults: set(s.SetFaults),
-		methodCounts: get(s.Counts),
+		methodHosts:  setMethod(func(h []platformclient.Host) { s.SetHosts(h) }),
+		methodFaults: setMethod(s.SetFaults),
+		methodCounts: getMethod(s.Counts),
 	}, func() { _ = srv.Close() }, nil
 }
 
@@ -111,7 +110,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return map[string]jsonrpc.Method{methodBalancers: set(f.Spray.Set)}, stop, nil
+	return map[string]jsonrpc.Method{methodBalancers: setMethod(f.Spray.Set)}, stop, nil
 }
 
 func startUpstream(src []byte) (map[string]jsonrpc.Method, func(), error) {
@@ -124,8 +123,8 @@
 		return nil, nil, err
 	}
 	return map[string]jsonrpc.Method{
-		methodBalancers: set(u.Spray.Set),
-		methodLedger:    get(u.Ledger),
+		methodBalancers: setMethod(u.Spray.Set),
+		methodLedger:    getMethod(u.Ledger),
 	}, stop, nil
 }
 
@@ -136,7 +135,7 @@
 	}
 	g, stop := caller.New(cfg)
 	return map[string]jsonrpc.Method{
-		methodLedger: get(g.Ledger),
-		methodFinish: get(func() ledger.Caller { return g.Finish() }),
+		methodLedger: getMethod(g.Ledger),
+		methodFinish: getMethod(func() ledger.Caller { return g.Finish() }),
 	}, stop, nil
 }
--- a/cmd/try/traffic.go
+++ b/cmd/try/traffic.go
@@ -29,7 +29,7 @@
 			u, err := startStandIn(ctx, "upstream", name, t.dir, upstream.Config{
 				Service: s.name, Name: name, Zone: t.deploy.zones[n%len(t.deploy.zones)], VNI: s.vni,
 				Address: upstreamAddress(i, n), Services: []netip.AddrPort{serviceAddress(i)},
-				Slots: s.slots, ServiceTime: s.work, FeedPeriod: s.feed,
+				Slots: s.slots, ServiceTime: s.serviceTime, FeedPeriod: s.feed,
 			})
 			if err != nil {
 				return err
@@ -37,7 +37,7 @@
 			t.upstreams = append(t.upstreams, u)
 		}
 	}
-	t.say("%d upstreams", len(t.upstreams))
+	t.logf("%d upstreams", len(t.upstreams))
 	return nil
 }
 
@@ -60,18 +60,18 @@
 	return nil
 }
 
-// route lets the fabric send to all balancers.
-func (t *trial) route(ctx context.Context) error {
+// routeToAll makes the fabric and the upstreams send to all balancers.
+func (t *trial) routeToAll(ctx context.Context) error {
 	t.mu.Lock()
 	t.routed = nil
 	for _, b := range t.balancers {
 		t.routed = append(t.routed, b.data)
 	}
 	t.mu.Unlock()
-	return t.tellFabric(ctx)
+	return t.updateFabric(ctx)
 }
 
-// setRouted adds a balancer to those that the fabric sends to, or takes it out.
+// setRouted adds a balancer to those that the fabric and the upstreams send to, or removes it.
 func (t *trial) setRouted(ctx context.Context, b *balancer, on bool) error {
 	t.mu.Lock()
 	t.routed = slices.DeleteFunc(t.routed, func(a netip.AddrPort) bool { return a == b.data })
@@ -79,10 +79,11 @@
 		t.routed = append(t.routed, b.data)
 	}
 	t.mu.Unlock()
-	return t.tellFabric(ctx)
+	return t.updateFabric(ctx)
 }
 
-func (t *trial) tellFabric(ctx context.Context) error {
+// updateFabric sends the list of balancers in use to the fabric and all upstreams.
+func (t *trial) updateFabric(ctx context.Context) error {
 	t.mu.Lock()
 	routed := slices.Clone(t.routed)
 	t.mu.Unlock()
--- a/cmd/try/trial.go
+++ b/cmd/try/trial.go
@@ -13,7 +13,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// trial is one run: the processes and what they are told.
+// trial is one run of a deployment: its processes, keys and settings.
 type trial struct {
 	opts   *runCommand
 	dir    string
@@ -31,10 +31,11 @@
 	// mu guards balancers and routed.
 	mu        sync.Mutex
 	balancers []*balancer
-	// routed are the balancers that the fabric sends to.
+	// routed holds the data addresses of the balancers that the fabric and the upstreams send to.
 	routed []netip.AddrPort
 }
 
+// host holds the name, zone and addresses of a balancer's host.
 type host struct {
 	name                 string
 	zone                 bundle.Zone
@@ -50,13 +51,14 @@
 	fileMode       = 0o600
 )
 
+// start builds the balancer if needed and starts all processes but the callers.
 func (t *trial) start(ctx context.Context) error {
 	t.began = time.Now()
 	t.secret = make([]byte, secretBytes)
 	_, _ = rand.Read(t.secret)
 	if t.binary = t.opts.Binary; t.binary == "" {
-		t.say("building the balancer")
-		binary, err := buildProduct(ctx, t.dir)
+		t.logf("building the balancer")
+		binary, err := buildBalancer(ctx, t.dir)
 		if err != nil {
 			return err
 		}
@@ -64,7 +66,7 @@
 	}
 	t.began = time.Now()
 	steps := []func(context.Context) error{
-		t.startPlatform, t.startBalancers, t.roll, t.startFabric, t.startUpstreams, t.route, t.awaitReady,
+		t.startPlatform, t.startBalancers, t.roll, t.startFabric, t.startUpstreams, t.routeToAll, t.awaitReady,
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -74,6 +76,7 @@
 	return nil
 }
 
+// startPlatform creates the approver's key and starts the platform.
 func (t *trial) startPlatform(ctx context.Context) error {
 	key, err := operator.NewKey("approver", filepath.Join(t.dir, "approver.key"))
 	if err != nil {
@@ -84,8 +87,9 @@
 	return err
 }
 
-// work lets callers work for the trial's time and brings the failures about.
-func (t *trial) work(ctx context.Context, fails []failure) error {
+// runTraffic runs the callers for the trial's time and injects the failures meanwhile. It returns when that time
+// is over and all failures have run, with the error of one that failed, or with that of ctx if it ends earlier.
+func (t *trial) runTraffic(ctx context.Context, fails []failure) error {
 	if err := t.startCallers(ctx); err != nil {
 		return err
 	}
