--- a/cmd/fescueshed/burn.go
+++ b/cmd/fescueshed/burn.go
@@ -29,8 +29,8 @@
 }
 
 // Run polls all balancers once per window and prints how fast each service uses up its error budget,
-// the share of requests that may be late, refused or fail: within the last window, which
-// shows the present rate, and since the command began, which a short disturbance changes little.
+// the share of requests that may be late, refused or fail: within the last window, which shows the
+// present rate, and since the command began, which a short disturbance changes little.
 func (c *burnCommand) Run(ctx context.Context) error {
 	if c.Objective <= 0 || c.Objective >= 1 {
 		return eris.Errorf("--objective is %v, want more than 0 and less than 1", c.Objective)
--- a/cmd/fescueshed/race_test.go
+++ b/cmd/fescueshed/race_test.go
@@ -85,7 +85,7 @@
 // rollBundles prepares, approves and rolls one bundle of an operator per round, one after the other.
 func rollBundles(t *testing.T, run func(...string) (string, error), dir, platform string, n, rounds int) []rollResult {
 	name := fmt.Sprintf("operator-%d", n)
-	file := func(what string) string { return filepath.Join(dir, name+"-"+what) }
+	file := func(suffix string) string { return filepath.Join(dir, name+"-"+suffix) }
 	if out, err := run("key", "new", name+"-approver", file("key")); err != nil {
 		t.Errorf("%v\n%s", err, out)
 		return nil
--- a/cmd/fescueshed/zone_test.go
+++ b/cmd/fescueshed/zone_test.go
@@ -34,18 +34,18 @@
 		return string(out), err
 	}
 	for _, step := range []struct {
-		verb, zone, says string
-		fails, evacuated bool
+		verb, zone, output string
+		fails, evacuated   bool
 	}{
-		{verb: "evacuate", zone: "eats", says: `ZONE: "eats" has no upstream; zones with upstreams: east`, fails: true},
-		{verb: "take-back", zone: "east", says: "wasn't evacuated"},
-		{verb: "evacuate", zone: "east", says: "Zone east is evacuated.", evacuated: true},
-		{verb: "evacuate", zone: "east", says: "evacuated already", evacuated: true},
-		{verb: "take-back", zone: "east", says: "Zone east is no longer evacuated."},
+		{verb: "evacuate", zone: "eats", output: `ZONE: "eats" has no upstream; zones with upstreams: east`, fails: true},
+		{verb: "take-back", zone: "east", output: "wasn't evacuated"},
+		{verb: "evacuate", zone: "east", output: "Zone east is evacuated.", evacuated: true},
+		{verb: "evacuate", zone: "east", output: "evacuated already", evacuated: true},
+		{verb: "take-back", zone: "east", output: "Zone east is no longer evacuated."},
 	} {
 		out, err := run(step.verb, step.zone)
-		if (err != nil) != step.fails || !strings.Contains(out, step.says) {
-			t.Errorf("%s %s: %v, %q, want %q", step.verb, step.zone, err, out, step.says)
+		if (err != nil) != step.fails || !strings.Contains(out, step.output) {
+			t.Errorf("%s %s: %v, %q, want %q", step.verb, step.zone, err, out, step.output)
 		}
 		if there := store.Content(wire.KindEvacuations, "east") != ""; there != step.evacuated {
 			t.Errorf("%s %s: evacuation entry in the store: %t, want %t", step.verb, step.zone, there, step.evacuated)
--- a/cmd/soak/fault.go
+++ b/cmd/soak/fault.go
@@ -113,7 +113,7 @@
 }
 
 // store makes the whole store fail in a random manner for a time. A store that was deaf, that is, whose watches
-// reported no changes, forgets its history at the end.
+// reported no changes, drops its history at the end.
 func (r *run) store() string {
 	troubles := map[string]metadata.Trouble{
 		"down":   {Status: http.StatusServiceUnavailable},
@@ -177,11 +177,11 @@
 	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	ways := []struct {
 		receives, reaches bool
-		what              string
-	}{{what: "cut off from"}, {receives: true, what: "unable to send to"}, {reaches: true, what: "unable to receive from"}}
+		effect            string
+	}{{effect: "cut off from"}, {receives: true, effect: "unable to send to"}, {reaches: true, effect: "unable to receive from"}}
 	way := ways[r.rng.IntN(len(ways))]
 	r.w.CutPeers(h, way.receives, way.reaches, d)
-	return fmt.Sprintf("%s is %s the others for %v", h.Name, way.what, d)
+	return fmt.Sprintf("%s is %s the others for %v", h.Name, way.effect, d)
 }
 
 // zoneCut cuts a random host's zone off from the other zones for a time.
--- a/cmd/soak/report.go
+++ b/cmd/soak/report.go
@@ -47,7 +47,7 @@
 func writeReport(dir string, r *run, o *outcome) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "began %s, answered by second: %s\n", r.began.Format("15:04:05.000"), o.plot)
-	for _, line := range append(r.plan, o.broken...) {
+	for _, line := range append(r.faultLog, o.broken...) {
 		fmt.Fprintln(&b, line)
 	}
 	return eris.Wrap(os.WriteFile(filepath.Join(dir, "report.txt"), []byte(b.String()), 0o600), "soak")
--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -24,7 +24,7 @@
 	began time.Time
 	// newAddress is the zero value, which asks for an upstream at an address that no other has.
 	newAddress netip.AddrPort
-	plan       []string
+	faultLog   []string
 	// snapshots are the recent snapshots that the store can be restored from.
 	snapshots []storeSnapshot
 }
@@ -65,7 +65,7 @@
 		return false, err
 	}
 	fmt.Printf("seed %d: %d faults, %d of %d requests answered, %d broken promises\n  %s\n",
-		seed, len(r.plan), o.answered, o.requests, len(o.broken), o.plot)
+		seed, len(r.faultLog), o.answered, o.requests, len(o.broken), o.plot)
 	if len(o.broken) == 0 {
 		_ = os.RemoveAll(dir) // Keep only the logs of failed runs.
 		return false, nil
@@ -147,13 +147,13 @@
 		time.Sleep(min(pause, time.Until(until)))
 		r.takeSnapshot()
 		f := pickFault(r.rng)
-		what := f.inject(r)
-		if what == "" {
+		description := f.inject(r)
+		if description == "" {
 			continue
 		}
 		if !f.planned {
 			r.w.Disturbed(maxFault)
 		}
-		r.plan = append(r.plan, fmt.Sprintf("%s %s: %s", time.Now().Format("15:04:05.000"), f.name, what))
+		r.faultLog = append(r.faultLog, fmt.Sprintf("%s %s: %s", time.Now().Format("15:04:05.000"), f.name, description))
 	}
 }
