--- a/internal/connection/geneve/hop.go
+++ b/internal/connection/geneve/hop.go
@@ -89,8 +89,8 @@
 	// Upstream is the upstream that sent the answer, or the upstream that is proposed
 	// or recorded for the flow.
 	Upstream bundle.UpstreamID
-	// Found is the upstream in the newest record that the members queried so far hold.
-	// It is set only if that record may be outdated and the remaining members must be
+	// Found is the upstream in the newest record that the owner and the members queried
+	// so far hold. It is set only if that record may be outdated and the remaining members must be
 	// queried too.
 	Found bundle.UpstreamID
 	// PlacedAt is when the flow was placed at Found, or at Upstream if Found is zero,
--- a/internal/connection/metadata/platform.go
+++ b/internal/connection/metadata/platform.go
@@ -16,7 +16,7 @@
 // Platform is a daemon's interface to the platform around it.
 type Platform struct {
 	Packets cookie.Codec
-	// Store makes the calls to the metadata store through which the feeds are read.
+	// Store makes the calls to the metadata store for all objects below.
 	Store         *objects.Client
 	Bundles       objects.ListWatcher[bundle.Accepted]
 	Registrations objects.ListWatcher[registry.Registration]
--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -24,7 +24,7 @@
 	cookieZone    = bundle.Zone("zone")
 	// cookieProbePeriod is the probe period of settings.CookieDefaults.
 	cookieProbePeriod = 500 * time.Millisecond
-	// advertisementPeriod is the period at which a zone's reader sends advertisements and loads.
+	// advertisementPeriod is the period at which a zone's store reader sends advertisements and loads.
 	advertisementPeriod = 500 * time.Millisecond
 	// flowBytes is the length of a measured packet.
 	flowBytes = 100
--- a/internal/process/capacity/measure.go
+++ b/internal/process/capacity/measure.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// warmUpTime bounds the time until all members agree, in the network's own time.
+	// warmUpTime bounds the time until all members agree, in the network's own time. Before messages
+	// are counted, the members then run for a part or a multiple of it.
 	warmUpTime = 30 * time.Second
 	// measuredTime is how long messages are counted, in the network's own time.
 	measuredTime = 10 * time.Second
--- a/internal/process/cookiedaemon/follower.go
+++ b/internal/process/cookiedaemon/follower.go
@@ -38,9 +38,9 @@
 // follower follows one kind of the store's objects.
 type follower[T any] struct {
 	objectHandler[T]
-	c    *Daemon
-	kind kind
-	feed objects.ListWatcher[T]
+	c           *Daemon
+	kind        kind
+	listWatcher objects.ListWatcher[T]
 	// failingSince is the time since which calls fail, or zero if they don't.
 	failingSince time.Time
 	// listing is the list in progress, or nil if there is none. fresh is set if the next list must
@@ -61,7 +61,7 @@
 
 func newFollower[T any](c *Daemon, k kind, feed objects.ListWatcher[T], in objectHandler[T]) *follower[T] {
 	return &follower[T]{
-		objectHandler: in, c: c, kind: k, feed: feed,
+		objectHandler: in, c: c, kind: k, listWatcher: feed,
 		unusableLimiter: logs.NewLimiter(unusableLines), outdatedLimiter: newOutdatedLimiter(),
 	}
 }
@@ -146,7 +146,7 @@
 		return next, err == nil, err
 	}
 	before := f.c.positionOf(f.kind)
-	ch, err := f.feed.Watch(ctx, asOf, time.Duration(f.c.cfg.Load().WatchWait))
+	ch, err := f.listWatcher.Watch(ctx, asOf, time.Duration(f.c.cfg.Load().WatchWait))
 	if err == nil {
 		err = f.checkAnswer(ch.AsOf, before, time.Now())
 	}
@@ -189,7 +189,7 @@
 	s := f.listing.Snapshot()
 	late := objects.Changes[T]{AsOf: s.AsOf}
 	if f.listing.NeedsWatch() {
-		ch, err := f.feed.Watch(ctx, s.AsOf, 0)
+		ch, err := f.listWatcher.Watch(ctx, s.AsOf, 0)
 		if eris.Is(err, objects.ErrTooLarge) {
 			// The changes since the oldest page only grow. A list of fresh pages lacks none.
 			f.listing, f.fresh = nil, true
@@ -219,7 +219,7 @@
 	if f.starting && f.position != nil {
 		o.AcceptSize = func(size int64) bool { return f.c.listStillNeeded(ctx, size) }
 	}
-	return f.feed.List(ctx, o)
+	return f.listWatcher.List(ctx, o)
 }
 
 // receivedMeanwhile reports whether a starting daemon has received a catalog from a member while it
--- a/internal/process/cookiedaemon/follower_test.go
+++ b/internal/process/cookiedaemon/follower_test.go
@@ -36,8 +36,8 @@
 	g := NewWithT(t)
 	var listed objects.Position
 	f := &follower[int]{
-		c:    &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
-		feed: &busyFeed{},
+		c:           &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
+		listWatcher: &busyFeed{},
 		objectHandler: objectHandler[int]{
 			multiPage: true,
 			list:      func(s objects.Snapshot[int], _ time.Time) { listed = s.AsOf },
@@ -69,8 +69,8 @@
 			g := NewWithT(t)
 			feed := &holdingFeed{}
 			f := &follower[int]{
-				c:    &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
-				feed: feed,
+				c:           &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
+				listWatcher: feed,
 				objectHandler: objectHandler[int]{
 					list:    func(objects.Snapshot[int], time.Time) {},
 					changes: func(objects.Changes[int], time.Time) {},
--- a/internal/process/experiment/page.go
+++ b/internal/process/experiment/page.go
@@ -30,7 +30,7 @@
 td:first-child, th:first-child { text-align: left }
 </style></head><body>
 <h1>Comparison of placement policies</h1>
-<p>Means over {{.Seeds}} seeds, the first being {{.First}}. Worth is the share of the total worth of the requests that callers
+<p>Means over {{.Seeds}} seeds, the first being {{.First}}. Worth is the share of the requests' total worth that callers
 obtained. The plots show it by the time at which the requests were sent.</p>
 {{range .Sections}}<h2>{{.Pattern}}</h2>
 <table><tr><th>policy</th><th>worth</th><th>least</th><th>most</th><th>worst windows</th><th>late</th><th>refused</th>
--- a/internal/process/experiment/report.go
+++ b/internal/process/experiment/report.go
@@ -19,8 +19,8 @@
 // Row is the result of one pattern with one policy, over all seeds.
 type Row struct {
 	Pattern, Policy string
-	// Worth is the share of the total worth of the requests that callers obtained. Windows is
-	// the same for the two worst windows of 2 s.
+	// Worth is the share of the requests' total worth that callers obtained. Windows is the mean
+	// of that share in the two windows of 2 s in which it was least.
 	Worth, Windows Spread
 	// Asked and the others are numbers of requests per emulator run, as means over the seeds.
 	Asked, InTime, Late, Refused, Failed float64
@@ -83,7 +83,7 @@
 // Print writes the report as a table.
 func (r *Report) Print(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	const header = "PATTERN\tPOLICY\tWORTH\tLEAST\tMOST\tWORST WINDOWS\tASKED\tLATE\tREFUSED\tFAILED\tSHED\tFREE SLOTS\tBUSIEST/MEAN"
+	const header = "PATTERN\tPOLICY\tWORTH\tLEAST\tMOST\tWORST WINDOWS\tASKED\tLATE\tREFUSED\tFAILED\tSHED\tWITH SLOTS\tBUSIEST/MEAN"
 	fmt.Fprintln(w, header)
 	for i := range r.Rows {
 		row := &r.Rows[i]
--- a/internal/process/flowtrace/trace.go
+++ b/internal/process/flowtrace/trace.go
@@ -69,7 +69,7 @@
 }
 
 // hostsAndUpstreams returns the hosts that made decisions about a flow and the IDs of the upstreams
-// that these named.
+// that its lines name.
 func hostsAndUpstreams(flow []Line) (hosts, upstreams map[string]bool) {
 	hosts, upstreams = make(map[string]bool), make(map[string]bool)
 	for i := range flow {
--- a/internal/process/logs/logs.go
+++ b/internal/process/logs/logs.go
@@ -24,8 +24,8 @@
 	Dropped atomic.Uint64
 }
 
-// queueLines is the queue's capacity. It is more than the lines of one second at the rate limit
-// of the settings.
+// queueLines is the queue's capacity. It is more than the lines of one second at the default rate
+// limit of the settings, which applies to each cause.
 const queueLines = 1024
 
 // NewWriter starts writing to w. The clean-up function writes the queued lines, but
--- a/internal/process/settings/cookie.go
+++ b/internal/process/settings/cookie.go
@@ -67,7 +67,7 @@
 	ProbeTimeout bundle.Duration
 	// ProbePeriod is the time between two membership probes.
 	ProbePeriod bundle.Duration
-	// LogsPerSecond limits the log lines per second about decisions on flows.
+	// LogsPerSecond limits the log lines per second about decisions on flows, for each cause.
 	LogsPerSecond int
 }
 
--- a/internal/process/status/status.go
+++ b/internal/process/status/status.go
@@ -48,7 +48,8 @@
 	EpochSince time.Time
 	Kinds      []StoreKindStatus
 	// HeldOverOlder and HeldThoughMissing count upstreams that the daemon uses as they were registered before
-	// the last restore, since the store now has an older entry for them, or none.
+	// a restore of the store, although the store now has an older entry for them (HeldOverOlder) or none
+	// (HeldThoughMissing).
 	HeldOverOlder, HeldThoughMissing int
 }
 
--- a/internal/version/platform/client.go
+++ b/internal/version/platform/client.go
@@ -51,13 +51,13 @@
 
 // Client calls the service. It is safe for concurrent use.
 type Client struct {
-	calls *objects.Client
+	client *objects.Client
 }
 
 // NewClient returns a client of the service at a base URL, and its clean-up function.
 func NewClient(base string) (*Client, func()) {
-	calls, stop := objects.NewClient(base)
-	return &Client{calls: calls}, stop
+	client, stop := objects.NewClient(base)
+	return &Client{client: client}, stop
 }
 
 // Get reads an object. It returns ErrNotFound if there is none.
@@ -92,7 +92,7 @@
 	} else {
 		h.Set("If-Match", etag(version))
 	}
-	a, err := c.calls.Do(ctx, objects.Call{Method: http.MethodPut, Path: objectPath(key), Header: h, Body: body})
+	a, err := c.client.Do(ctx, objects.Call{Method: http.MethodPut, Path: objectPath(key), Header: h, Body: body})
 	if err != nil {
 		return 0, err
 	}
@@ -120,7 +120,7 @@
 
 func (c *Client) read(ctx context.Context, call objects.Call) (Object, error) {
 	call.Method = http.MethodGet
-	a, err := c.calls.Do(ctx, call)
+	a, err := c.client.Do(ctx, call)
 	if err != nil {
 		return Object{}, err
 	}
--- a/internal/version/platform/head.go
+++ b/internal/version/platform/head.go
@@ -29,8 +29,8 @@
 }
 
 // Roll puts s in force if its version is the next one. After an error other than ErrRaced it retries, each time after a
-// pause, until ctx ends. If the answer of a write was lost, the operation ids in the object that it then reads
-// tell whether the write took effect, so it is never made twice nor reported wrongly.
+// pause, until ctx ends. If the answer of a write was lost, the operation ids in the object, which
+// it reads before each attempt, tell whether the write took effect. So it is never made twice nor reported wrongly.
 func (c *Client) Roll(ctx context.Context, s *bundle.Signed, pause time.Duration) error {
 	for {
 		err := c.tryRoll(ctx, s)
