--- a/internal/standin/metadata/objects.go
+++ b/internal/standin/metadata/objects.go
@@ -11,7 +11,7 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// Register writes an upstream's entry.
+// Register writes the registration entry of an upstream, replacing an earlier one.
 func (s *Store) Register(r *registry.Registration) {
 	state := wire.StateReady
 	if r.Draining {
@@ -23,16 +23,16 @@
 	})
 }
 
-// EncodeSpec returns an entry's content as it is stored.
+// EncodeSpec returns the JSON of an upstream's entry as the store holds it.
 func EncodeSpec(s *wire.Server) string { return string(encode(s)) }
 
-// Deregister removes an upstream's entry.
+// Deregister removes the registration entry of an upstream.
 func (s *Store) Deregister(id bundle.UpstreamID) { s.Delete(wire.KindServers, EntryName(id)) }
 
-// EntryName returns the name of an upstream's entry.
+// EntryName returns the name under which the store holds an upstream's registration entry.
 func EntryName(id bundle.UpstreamID) string { return fmt.Sprintf("i-%010x", uint64(id)) }
 
-// PutBundle puts a bundle into the store as the configuration of a version.
+// PutBundle writes a bundle to the store as the configuration object with the given version.
 func (s *Store) PutBundle(v bundle.Version, b *bundle.Bundle) {
 	c := &wire.Config{Version: uint64(v)}
 	for i := range b.Services {
@@ -48,6 +48,7 @@
 	s.Put(wire.KindConfig, wire.NameConfig, c)
 }
 
+// encodeRoute returns a route in the platform's form.
 func encodeRoute(r *bundle.Route) wire.Route {
 	out := wire.Route{
 		Name: r.Name, Host: r.Address.Addr().String(), PathPrefix: fmt.Sprintf("/%d/", r.Address.Port()),
@@ -62,12 +63,12 @@
 	return out
 }
 
-// HealthHandler returns the handler of an upstream's health requests.
+// HealthHandler returns the handler for health checks of an upstream. Its answers name the upstream in a header.
 func HealthHandler(id bundle.UpstreamID) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(wire.HeaderUpstreamID, EntryName(id))
 	})
 }
 
-// ReadinessURL returns what routers ask.
+// ReadinessURL returns the URL at which routers check whether the balancer at an address is ready.
 func ReadinessURL(at netip.AddrPort) string { return "http://" + at.String() + wire.ReadinessPath }
--- a/internal/standin/metadata/packets.go
+++ b/internal/standin/metadata/packets.go
@@ -1,5 +1,5 @@
-// Package metadata is the platform's other end for tests: its packets as callers and
-// upstreams write them, and a metadata store with its faults as switches.
+// Package metadata stands in for the platform in tests. It encodes and decodes packets as callers
+// and upstreams do, and has a metadata store whose faults a test can switch on and off.
 package metadata
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/fescueshed/fescueshed/platform"
 )
 
-// SegmentCodec is the codec of what the two ends of a flow send. It implements
-// flows.Codec.
+// SegmentCodec encodes and decodes the segments that the two ends of a flow, caller and upstream,
+// send. It implements flows.Codec.
 type SegmentCodec struct{ packets platform.Packets }
 
 // Encode implements flows.Codec.
--- a/internal/standin/metadata/store.go
+++ b/internal/standin/metadata/store.go
@@ -16,69 +16,74 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// Faults is what the store does wrong. The zero value is nothing.
+// Faults are the faults that the store shows at present. The zero value means none.
 type Faults struct {
-	// Status refuses every call with it, if it isn't zero.
+	// Status is the HTTP status with which the store refuses every call, unless it is zero.
 	Status int
-	// ResetConnections cuts every connection, NoAnswers never answers.
+	// ResetConnections aborts the connection of every call. NoAnswers leaves every call without an answer until the
+	// client ends it.
 	ResetConnections, NoAnswers bool
-	// Delay holds each answer back.
+	// Delay is how long the store waits before it handles a call.
 	Delay time.Duration
-	// SlowEvents holds answers of watches back that bring events, as a store does that takes long
-	// to put a large answer together.
+	// SlowEvents delays the answers to watches that contain events, as a store does that takes long
+	// to build a large answer.
 	SlowEvents time.Duration
-	// HideEvents makes watches hear nothing.
+	// HideEvents makes watches return no events.
 	HideEvents bool
-	// ServePreRestore answers lists and watches with what the store held before it was restored from a snapshot, as a member of it
-	// does that lags behind the others.
+	// ServePreRestore answers lists and watches with the content from before the last restore from a snapshot, as a
+	// member of the store does that lags behind the others.
 	ServePreRestore bool
-	// ServeOneOf refuses all but one of so many calls for want of a rate, if it is more
-	// than one. Stale reads don't count.
+	// ServeOneOf, if more than one, makes the store serve one call in ServeOneOf and refuse the others as rate limited.
+	// Stale reads are always served.
 	ServeOneOf int
-	// OnlyFrom restricts the trouble to calls from these addresses, if there are any.
+	// OnlyFrom restricts the faults to calls from these addresses. If it is empty, they apply to all calls.
+	// HideEvents and ServePreRestore apply to all calls in any case.
 	OnlyFrom []netip.Addr
 }
 
-// Store is a metadata store behind an HTTP handler. It is safe for concurrent use.
+// Store is an in-memory metadata store that is served by HTTP. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	objects  map[string]map[string]object
 	events   map[string][]storedEvent
 	revision uint64
-	// epoch rises each time the store is restored from a snapshot.
+	// epoch counts how often the store was restored from a snapshot.
 	epoch uint64
-	// forgotten is the revision up to which the history is gone.
-	forgotten uint64
-	changed   chan struct{}
-	trouble   Faults
-	calls     int
-	// stale is what stale reads see, nil if they see all. former is what was there before the last return.
-	stale, former *copied
+	// historyStart is the revision up to which the events were dropped.
+	historyStart uint64
+	// changed is closed, and replaced, at each change.
+	changed chan struct{}
+	faults  Faults
+	calls   int
+	// staleView is the content that stale reads return, nil if they return the current content. preRestore is the
+	// content from before the last restore from a snapshot, nil if there was none.
+	staleView, preRestore *snapshot
 }
 
-// copied is the store's content as it was.
-type copied struct {
+// snapshot is a copy of the store's content at one revision.
+type snapshot struct {
 	objects  map[string]map[string]object
 	revision uint64
 	epoch    uint64
 }
 
-// object is a stored object as it goes out. It is bytes, since other writers may have put
-// anything there.
+// object is a stored object. Its body is kept as the bytes that the store sends, since other writers may have
+// written anything there.
 type object struct {
 	meta wire.Meta
 	body jsontext.Value
 }
 
-// storedEvent is an event as it goes out. It is encoded once: to encode it for each watch kept a watch of
-// seven megabytes waiting for seconds on a busy machine.
+// storedEvent is an event in its encoded form. It is encoded only once: encoding it for each watch delayed a watch
+// of seven megabytes by seconds on a busy machine.
 type storedEvent struct {
 	revision uint64
 	encoded  jsontext.Value
 }
 
-// pageObjects is small, so that tests with few upstreams see several pages.
-const pageObjects = 5
+// maxPageItems is the number of objects in a page of a list. It is small so that tests with few upstreams get
+// several pages.
+const maxPageItems = 5
 
 // NewStore returns an empty store.
 func NewStore() *Store {
@@ -89,42 +94,43 @@
 	}
 }
 
-// SetFaults replaces the trouble.
-func (s *Store) SetFaults(t Faults) {
+// SetFaults replaces the faults in force.
+func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.faults = f
 }
 
-// FreezeStaleReads makes stale reads see the present content from now on, whatever changes.
+// FreezeStaleReads makes stale reads return the content as of this call, whatever changes later.
 func (s *Store) FreezeStaleReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stale = s.copy()
+	s.staleView = s.takeSnapshot()
 }
 
-// copy returns the present content. s.mu is held.
-func (s *Store) copy() *copied {
-	c := &copied{objects: make(map[string]map[string]object), revision: s.revision, epoch: s.epoch}
+// takeSnapshot returns a copy of the present content. s.mu must be held.
+func (s *Store) takeSnapshot() *snapshot {
+	c := &snapshot{objects: make(map[string]map[string]object), revision: s.revision, epoch: s.epoch}
 	for kind, objects := range s.objects {
 		c.objects[kind] = maps.Clone(objects)
 	}
 	return c
 }
 
-// Snapshot returns what restores the store to its present content: all that was acknowledged since is gone,
-// its revisions are given out again, and a watch from one that isn't there is answered that the history is gone.
+// Snapshot returns a function that restores the store to its present content. A restore loses all writes that were
+// acknowledged since and assigns their revisions again. A watch from a revision that the store hasn't reached yet is
+// then answered that the history was dropped.
 func (s *Store) Snapshot() (restore func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.copy()
+	c := s.takeSnapshot()
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for kind, events := range s.events {
 			s.events[kind] = slices.DeleteFunc(events, func(e storedEvent) bool { return e.revision > c.revision })
 		}
-		s.former = s.copy()
+		s.preRestore = s.takeSnapshot()
 		s.epoch++
 		s.revision, s.objects = c.revision, make(map[string]map[string]object)
 		for kind, objects := range c.objects {
@@ -149,21 +155,22 @@
 	return s.revision
 }
 
-// CallCount returns how often the store was called.
+// CallCount returns how many calls the store received.
 func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes an object and returns when it is acknowledged.
+// Put creates or replaces an object. The write is acknowledged when Put returns.
 func (s *Store) Put(kind, name string, spec any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(kind, name, encode(spec))
 }
 
-// PutRaw replaces an object, as a whole, by what another writer makes of its revision.
+// PutRaw replaces a whole object, metadata included, by the bytes that body returns for its new revision, as another
+// writer could. The bytes may be invalid.
 func (s *Store) PutRaw(kind, name string, body func(revision uint64) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +181,7 @@
 	s.events[kind][len(s.events[kind])-1].encoded = encode(&wire.Event{Object: o.body})
 }
 
-// Content returns an object as it goes out, empty if there is none.
+// Content returns an object as the store sends it, empty if there is none.
 func (s *Store) Content(kind, name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,16 +189,17 @@
 }
 
 func encode(v any) jsontext.Value {
-	b, err := json.Marshal(v, outgoing)
+	b, err := json.Marshal(v, encodeOptions)
 	if err != nil {
-		panic(err) // All that tests write can be encoded.
+		panic(err) // Everything that tests write can be encoded.
 	}
 	return b
 }
 
-// outgoing lets bytes of other writers pass as they are.
-var outgoing = json.JoinOptions(jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
+// encodeOptions makes the encoder pass on the bytes of other writers unchanged, valid or not.
+var encodeOptions = json.JoinOptions(jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
 
+// put writes an object under the next revision. s.mu must be held.
 func (s *Store) put(kind, name string, spec jsontext.Value) {
 	s.revision++
 	o, ok := s.objects[kind][name]
@@ -204,7 +212,7 @@
 		s.objects[kind] = make(map[string]object)
 	}
 	s.objects[kind][name] = o
-	s.note(kind, wire.Event{Object: o.body})
+	s.recordEvent(kind, wire.Event{Object: o.body})
 }
 
 // Delete removes an object.
@@ -217,20 +225,21 @@
 	}
 	s.revision++
 	delete(s.objects[kind], name)
-	s.note(kind, wire.Event{Object: o.body, Deleted: true})
+	s.recordEvent(kind, wire.Event{Object: o.body, Deleted: true})
 }
 
-func (s *Store) note(kind string, e wire.Event) {
+// recordEvent adds an event of the present revision to the history and wakes the watches. s.mu must be held.
+func (s *Store) recordEvent(kind string, e wire.Event) {
 	s.events[kind] = append(s.events[kind], storedEvent{revision: s.revision, encoded: encode(&e)})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// DropHistory drops the history: whoever watches from before must list again.
+// DropHistory drops all events so far: a client that watches from an earlier revision must list again.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
+	s.historyStart = s.revision
 	clear(s.events)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -238,26 +247,26 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.count()
-	t := s.troubleFor(r)
-	tellEpoch(w, s.Epoch())
+	s.countCall()
+	f := s.faultsFor(r)
+	setEpochHeader(w, s.Epoch())
 	switch {
-	case t.ResetConnections:
+	case f.ResetConnections:
 		panic(http.ErrAbortHandler)
-	case t.NoAnswers:
+	case f.NoAnswers:
 		<-r.Context().Done()
 		return
-	case t.Status != 0:
-		w.WriteHeader(t.Status)
+	case f.Status != 0:
+		w.WriteHeader(f.Status)
 		return
 	}
 	q := r.URL.Query()
 	stale := q.Has(wire.QueryStale)
-	if t.ServeOneOf > 1 && !stale && s.CallCount()%t.ServeOneOf != 0 {
+	if f.ServeOneOf > 1 && !stale && s.CallCount()%f.ServeOneOf != 0 {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	time.Sleep(t.Delay)
+	time.Sleep(f.Delay)
 	path, ok := strings.CutPrefix(r.URL.Path, wire.ObjectsPath)
 	kind, name, named := strings.Cut(path, "/")
 	switch {
@@ -284,28 +293,28 @@
 	s.list(w, kind, q.Get(wire.QueryAfter), stale)
 }
 
-func (s *Store) count() {
+func (s *Store) countCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 }
 
-// troubleFor returns the trouble that a call meets.
-func (s *Store) troubleFor(r *http.Request) Faults {
+// faultsFor returns the faults that apply to a call.
+func (s *Store) faultsFor(r *http.Request) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.trouble
-	if len(t.OnlyFrom) == 0 {
-		return t
+	f := s.faults
+	if len(f.OnlyFrom) == 0 {
+		return f
 	}
 	from, err := netip.ParseAddrPort(r.RemoteAddr)
-	if err != nil || !slices.Contains(t.OnlyFrom, from.Addr()) {
+	if err != nil || !slices.Contains(f.OnlyFrom, from.Addr()) {
 		return Faults{}
 	}
-	return t
+	return f
 }
 
-// write creates an object or replaces one under a condition.
+// write creates an object, or replaces one if the call names its present revision.
 func (s *Store) write(w http.ResponseWriter, r *http.Request, kind string) {
 	var in wire.Written
 	if err := json.UnmarshalRead(r.Body, &in); err != nil {
@@ -333,34 +342,36 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, &o.body)
+	writeJSON(w, &o.body)
 }
 
+// list answers with a page of the objects whose names come after the given one.
 func (s *Store) list(w http.ResponseWriter, kind, after string, stale bool) {
 	s.mu.Lock()
-	from := &copied{objects: s.objects, revision: s.revision, epoch: s.epoch}
+	source := &snapshot{objects: s.objects, revision: s.revision, epoch: s.epoch}
 	switch {
-	case s.trouble.ServePreRestore && s.former != nil:
-		from = s.former
-	case stale && s.stale != nil:
-		from = s.stale
+	case s.faults.ServePreRestore && s.preRestore != nil:
+		source = s.preRestore
+	case stale && s.staleView != nil:
+		source = s.staleView
 	}
-	p := wire.Page{AsOf: from.revision}
-	for _, name := range slices.Sorted(maps.Keys(from.objects[kind])) {
+	p := wire.Page{AsOf: source.revision}
+	for _, name := range slices.Sorted(maps.Keys(source.objects[kind])) {
 		if name <= after {
 			continue
 		}
-		if len(p.Items) == pageObjects {
+		if len(p.Items) == maxPageItems {
 			p.HasMore = true
 			break
 		}
-		p.Items = append(p.Items, from.objects[kind][name].body)
+		p.Items = append(p.Items, source.objects[kind][name].body)
 	}
 	s.mu.Unlock()
-	tellEpoch(w, from.epoch)
-	answer(w, &p)
+	setEpochHeader(w, source.epoch)
+	writeJSON(w, &p)
 }
 
+// watch answers with the events after a revision as soon as there are any, or with none after the requested wait.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	q := r.URL.Query()
 	from, err := strconv.ParseUint(q.Get(wire.QueryWatch), 10, 64)
@@ -371,14 +382,14 @@
 	}
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		p, gone, changed := s.since(w, kind, from)
-		if gone {
+		p, dropped, changed := s.eventsSince(w, kind, from)
+		if dropped {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(p.Events) > 0 {
-			time.Sleep(s.troubleFor(r).SlowEvents)
-			answer(w, p)
+			time.Sleep(s.faultsFor(r).SlowEvents)
+			writeJSON(w, p)
 			return
 		}
 		select {
@@ -386,26 +397,26 @@
 		case <-r.Context().Done():
 			return
 		case <-timeout:
-			answer(w, p)
+			writeJSON(w, p)
 			return
 		}
 	}
 }
 
-// since returns the events after a revision, whether the history is gone, and what
-// is closed at the next change. It tells the epoch that they are of.
-func (s *Store) since(w http.ResponseWriter, kind string, from uint64) (*wire.Page, bool, chan struct{}) {
+// eventsSince returns the events after a revision, whether the history from there was dropped, and a channel that is
+// closed at the next change. It sets the header with the epoch of the events.
+func (s *Store) eventsSince(w http.ResponseWriter, kind string, from uint64) (*wire.Page, bool, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.trouble.ServePreRestore && s.former != nil {
-		tellEpoch(w, s.former.epoch)
-		return &wire.Page{AsOf: s.former.revision}, false, s.changed
+	if s.faults.ServePreRestore && s.preRestore != nil {
+		setEpochHeader(w, s.preRestore.epoch)
+		return &wire.Page{AsOf: s.preRestore.revision}, false, s.changed
 	}
-	tellEpoch(w, s.epoch)
-	if from < s.forgotten || from > s.revision {
+	setEpochHeader(w, s.epoch)
+	if from < s.historyStart || from > s.revision {
 		return nil, true, nil
 	}
-	if s.trouble.HideEvents {
+	if s.faults.HideEvents {
 		return &wire.Page{AsOf: from}, false, s.changed
 	}
 	p := &wire.Page{AsOf: s.revision}
@@ -417,17 +428,17 @@
 	return p, false, s.changed
 }
 
-// tellEpoch puts the epoch of what an answer says into its head.
-func tellEpoch(w http.ResponseWriter, epoch uint64) {
+// setEpochHeader sets the header that gives the epoch of an answer's content.
+func setEpochHeader(w http.ResponseWriter, epoch uint64) {
 	w.Header().Set(wire.HeaderEra, strconv.FormatUint(epoch, 10))
 }
 
-func answer[T any](w http.ResponseWriter, p *T) {
-	b, err := json.Marshal(p, outgoing)
+func writeJSON[T any](w http.ResponseWriter, p *T) {
+	b, err := json.Marshal(p, encodeOptions)
 	if err != nil {
-		panic(http.ErrAbortHandler) // Nothing that the store holds can't be encoded.
+		panic(http.ErrAbortHandler) // Everything that the store holds can be encoded.
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	_, _ = w.Write(b) // The caller may have gone away.
+	_, _ = w.Write(b) // The client may have closed the connection.
 }
--- a/internal/standin/world/bundles.go
+++ b/internal/standin/world/bundles.go
@@ -10,36 +10,37 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Roll accepts the next version of the bundle. The switching route leads to the
-// other service than before. It returns the version.
+// Roll writes the next version of the bundle to the store and returns that version. The switching route then leads
+// to the other of the two services.
 func (w *World) Roll() bundle.Version {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version += bundle.Version(1 + w.rng.Uint64N(maxVersionStep))
-	w.lastRoute = other(w.lastRoute)
-	w.accept()
-	w.switches = append(w.switches, switched{at: time.Now(), service: w.lastRoute})
+	w.switchService = otherService(w.switchService)
+	w.writeBundle()
+	w.switches = append(w.switches, routeSwitch{at: time.Now(), service: w.switchService})
 	return w.version
 }
 
-// RewriteBundle accepts the version in force once more, with what AddIdleRoutes has added since, as a store does
-// that was restored from a copy.
+// RewriteBundle writes the version in force again, with the routes that AddIdleRoutes has added or removed since. The
+// content of a version changes in this way when a store is restored from a snapshot.
 func (w *World) RewriteBundle() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.accept()
+	w.writeBundle()
 }
 
-// accept writes the bundle. w.mu is held.
-func (w *World) accept() {
+// writeBundle writes the bundle to the store. w.mu must be held.
+func (w *World) writeBundle() {
 	b := &bundle.Bundle{
 		Routes: []bundle.Route{
-			route("feed", feedAt, ServiceFeed), route("sheets", sheetsAt, ServiceSheets), route("switch", switchAt, w.lastRoute),
+			route("feed", feedAddress, ServiceFeed),
+			route("sheets", sheetsAddress, ServiceSheets), route("switch", switchAddress, w.switchService),
 		},
 	}
 	for i := range w.idleRoutes {
 		at := netip.AddrFrom4([4]byte{198, idleNet, byte(i >> 8), byte(i)})
-		b.Routes = append(b.Routes, route(w.idleName(i), netip.AddrPortFrom(at, idlePort), ServiceSheets))
+		b.Routes = append(b.Routes, route(w.idleRouteName(i), netip.AddrPortFrom(at, idlePort), ServiceSheets))
 	}
 	for _, name := range []string{ServiceFeed, ServiceSheets} {
 		b.Services = append(b.Services, bundle.Service{
@@ -50,16 +51,16 @@
 	w.Store.PutBundle(w.version, b)
 }
 
-// unlikeBytes is how many bytes of a name don't compress.
-const unlikeBytes = 80
+// incompressibleBytes is the number of random bytes in the name of an incompressible route.
+const incompressibleBytes = 80
 
-// idleName returns the name of a route that no caller uses, the same in each version.
-func (w *World) idleName(i int) string {
+// idleRouteName returns the name of a route that no caller uses. The name is the same in each version.
+func (w *World) idleRouteName(i int) string {
 	name := fmt.Sprint("idle-", i)
 	if !w.opts.IncompressibleRoutes {
 		return name
 	}
-	random := make([]byte, unlikeBytes)
+	random := make([]byte, incompressibleBytes)
 	rng := rand.New(rand.NewPCG(w.opts.Seed, uint64(i)))
 	for j := range random {
 		random[j] = byte(rng.Uint32())
@@ -67,8 +68,8 @@
 	return name + "-" + hex.EncodeToString(random)
 }
 
-// AddIdleRoutes adds routes that no caller uses to the next versions of the bundle, or takes some away. It
-// returns how many there are then.
+// AddIdleRoutes adds the given number of routes that no caller uses to the next versions of the bundle, or removes
+// some if the number is negative. It returns the new total of such routes.
 func (w *World) AddIdleRoutes(routes int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/world/callers.go
+++ b/internal/standin/world/callers.go
@@ -11,15 +11,15 @@
 	"github.com/fescueshed/fescueshed/internal/standin/metadata"
 )
 
-// callerRetries is how often callers repeat a request that may be repeated.
+// callerRetries is how often callers retry an idempotent request.
 const callerRetries = 2
 
-// RunCallers lets all callers make requests until ctx ends and returns what they saw.
+// RunCallers lets all callers send requests until ctx ends and returns the tally of each.
 func (w *World) RunCallers(ctx context.Context) ([]flows.Tally, error) {
 	var wg sync.WaitGroup
 	tallies := make([]flows.Tally, w.opts.Callers)
 	for i := range tallies {
-		c, stop, err := flows.NewCaller(w.caller(i))
+		c, stop, err := flows.NewCaller(w.callerOptions(i))
 		if err != nil {
 			return nil, err
 		}
@@ -32,7 +32,7 @@
 	return tallies, nil
 }
 
-func (w *World) caller(i int) flows.CallerOptions {
+func (w *World) callerOptions(i int) flows.CallerOptions {
 	o := flows.CallerOptions{
 		IP: netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i + 1)}), Port: w.ports.Data,
 		Idempotent: i%3 != 0, Period: callerPeriod, Deadline: callerDeadline, Retries: callerRetries,
@@ -41,15 +41,15 @@
 	}
 	switch i % 4 {
 	case 0, 1:
-		o.Service, o.Serves = feedAt, only(ServiceFeed)
+		o.Service, o.Serves = feedAddress, onlyService(ServiceFeed)
 	case 2:
-		o.Service, o.Serves = sheetsAt, only(ServiceSheets)
+		o.Service, o.Serves = sheetsAddress, onlyService(ServiceSheets)
 	case 3:
-		o.Service, o.Serves, o.Fresh = switchAt, w.MayServe, true
+		o.Service, o.Serves, o.Fresh = switchAddress, w.MayServe, true
 	}
 	return o
 }
 
-func only(service string) func(string, time.Time) bool {
+func onlyService(service string) func(string, time.Time) bool {
 	return func(s string, _ time.Time) bool { return s == service }
 }
--- a/internal/standin/world/foreign.go
+++ b/internal/standin/world/entries.go
@@ -8,9 +8,9 @@
 	"github.com/fescueshed/fescueshed/platform/wire"
 )
 
-// foreignSpecs are what other writers leave in place of an upstream's entry: other types,
-// missing fields, a state that there isn't, bytes that aren't text.
-var foreignSpecs = []string{
+// invalidSpecs are invalid contents that other writers leave in place of an upstream's entry: wrong types,
+// missing fields, an unknown state, bytes that aren't UTF-8.
+var invalidSpecs = []string{
 	`null`,
 	`"not an entry"`,
 	`{"state":"ready"}`,
@@ -22,18 +22,18 @@
 	"{\"service\":\"\xff\xfe\"}",
 }
 
-// ReplaceEntries lets another writer replace the entries of so many upstreams, and put as
-// many of its own beside them. It returns the names of those that it replaced, and what
-// makes their upstreams write them again.
+// ReplaceEntries replaces the entries of n upstreams by invalid ones, as another writer could, and adds as many
+// unusable entries of other names. It returns the names of the replaced entries and a function that makes their
+// upstreams write them again.
 func (w *World) ReplaceEntries(n int) (names []string, restore func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n = min(n, len(w.servers))
+	n = min(n, len(w.upstreams))
 	replaced := make([]*Upstream, 0, n)
-	for _, i := range w.rng.Perm(len(w.servers))[:n] {
-		s := w.servers[i]
+	for _, i := range w.rng.Perm(len(w.upstreams))[:n] {
+		s := w.upstreams[i]
 		name := metadata.EntryName(s.ID)
-		spec := foreignSpecs[w.rng.IntN(len(foreignSpecs))]
+		spec := invalidSpecs[w.rng.IntN(len(invalidSpecs))]
 		w.Store.PutRaw(wire.KindServers, name, func(revision uint64) string {
 			return fmt.Sprintf(`{"meta":{"name":%q,"revision":%d,"created":1},"spec":%s}`, name, revision, spec)
 		})
--- a/internal/standin/world/process.go
+++ b/internal/standin/world/process.go
@@ -12,8 +12,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Build returns the balancer's program, built from this module, and a function that
-// removes it.
+// Build builds the balancer from this module. It returns the path of the binary and a function that removes the
+// binary.
 func Build(ctx context.Context) (string, func(), error) {
 	dir, err := os.MkdirTemp("", "fescueshed-world-")
 	if err != nil {
@@ -30,14 +30,15 @@
 	return binary, clean, nil
 }
 
-// startWait bounds the start of all processes of a world.
+// startTimeout bounds the start of all processes of a world together. startPollInterval is the time between two
+// checks of whether they are ready.
 const (
-	startWait = 20 * time.Second
-	startPoll = 100 * time.Millisecond
+	startTimeout      = 20 * time.Second
+	startPollInterval = 100 * time.Millisecond
 )
 
-// StartProcesses starts a balancer on each host and waits until all are in rotation.
-// Settings and logs go to dir. The clean-up function ends them.
+// StartProcesses starts a balancer on each host and waits until the router has all of them in rotation.
+// It writes settings and logs to dir. The clean-up function ends the processes.
 func (w *World) StartProcesses(ctx context.Context, binary, dir string) ([]*Process, func(), error) {
 	var procs []*Process
 	stop := func() {
@@ -53,17 +54,17 @@
 		}
 		procs = append(procs, p)
 	}
-	for deadline := time.Now().Add(startWait); w.Router.InRotation() < len(procs); {
+	for deadline := time.Now().Add(startTimeout); w.Router.InRotation() < len(procs); {
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			stop()
-			return nil, nil, eris.Errorf("world: %d of %d balancers are ready", w.Router.InRotation(), len(procs))
+			return nil, nil, eris.Errorf("world: only %d of %d balancers became ready", w.Router.InRotation(), len(procs))
 		}
-		time.Sleep(startPoll)
+		time.Sleep(startPollInterval)
 	}
 	return procs, stop, nil
 }
 
-// Process is one balancer, which is started again whenever it ends. It is safe for
+// Process is one balancer process. It is started again whenever it ends, until Stop. It is safe for
 // concurrent use.
 type Process struct {
 	binary, settings, log string
@@ -71,12 +72,12 @@
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	stopped bool
-	held    bool
+	paused  bool
 	done    chan struct{}
 }
 
-// restartPause is how long a process that ended stays away.
-const restartPause = 300 * time.Millisecond
+// restartDelay is the time between the end of a process and its restart.
+const restartDelay = 300 * time.Millisecond
 
 func newProcess(binary, dir, name, settings string) (*Process, error) {
 	p := &Process{
@@ -107,15 +108,17 @@
 	p.cmd = cmd
 	p.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // How it ended stands in its log.
+		_ = cmd.Wait() // The process's log tells how it ended.
 		_ = log.Close()
-		p.ended()
+		p.restartUnlessStopped()
 	}()
 	return nil
 }
 
-func (p *Process) ended() {
-	time.Sleep(restartPause)
+// restartUnlessStopped starts the process again after restartDelay. If Stop was called, or the start fails, it closes
+// p.done instead.
+func (p *Process) restartUnlessStopped() {
+	time.Sleep(restartDelay)
 	p.mu.Lock()
 	stopped := p.stopped
 	p.mu.Unlock()
@@ -124,34 +127,35 @@
 	}
 }
 
-// Signal sends a signal to the process by its id.
+// Signal sends a signal to the process by its process id, unless Stop was called.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil && p.cmd.Process != nil && !p.stopped {
-		_ = p.cmd.Process.Signal(s) // It may have ended just now.
+		_ = p.cmd.Process.Signal(s) // The process may have ended in the meantime.
 	}
 }
 
-// Pause stops the process for a time, as a host that freezes.
+// Pause suspends the process for a time, as on a host that freezes. It does nothing if the process is suspended
+// already.
 func (p *Process) Pause(d time.Duration) {
 	p.mu.Lock()
-	held := p.held
-	p.held = true
+	wasPaused := p.paused
+	p.paused = true
 	p.mu.Unlock()
-	if held {
+	if wasPaused {
 		return
 	}
 	p.Signal(syscall.SIGSTOP)
 	time.AfterFunc(d, func() {
 		p.Signal(syscall.SIGCONT)
 		p.mu.Lock()
-		p.held = false
+		p.paused = false
 		p.mu.Unlock()
 	})
 }
 
-// Stop ends the process for good and waits for it.
+// Stop kills the process, doesn't start it again, and waits for its end.
 func (p *Process) Stop() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
--- a/internal/standin/world/proxy.go
+++ b/internal/standin/world/proxy.go
@@ -11,40 +11,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// LinkFault is what a Proxy does to the connections that pass it.
+// LinkFault is a fault that a Proxy applies to its connections.
 type LinkFault uint8
 
-// The faults of a link.
+// The faults of a link. LinkOK is none.
 const (
 	LinkOK LinkFault = iota
-	// LinkReset cuts connections and refuses new ones.
+	// LinkReset closes all connections and refuses new ones.
 	LinkReset
-	// LinkBlackhole passes nothing, either way, without a word.
+	// LinkBlackhole drops all bytes in both directions, without closing connections.
 	LinkBlackhole
-	// LinkNoAnswers passes requests but no answers: what is asked happens.
+	// LinkNoAnswers passes requests but drops the answers, so that requests still take effect.
 	LinkNoAnswers
-	// LinkSlow holds everything back by slowLink.
+	// LinkSlow delays all bytes by slowLinkDelay, in both directions.
 	LinkSlow
-	// LinkFaultCount is the number of faults.
+	// LinkFaultCount is the number of values above.
 	LinkFaultCount
 )
 
-var linkNames = [...]string{"good", "reset", "silent", "deaf", "slow"}
+var linkFaultNames = [...]string{"good", "reset", "silent", "deaf", "slow"}
 
-// String names the fault.
-func (f LinkFault) String() string { return linkNames[f] }
+// String returns the name of the fault.
+func (f LinkFault) String() string { return linkFaultNames[f] }
 
 const (
-	slowLink    = 150 * time.Millisecond
-	proxyBuffer = 32 << 10
+	slowLinkDelay    = 150 * time.Millisecond
+	proxyBufferBytes = 32 << 10
 )
 
-// Proxy passes TCP connections on, with faults. It is safe for concurrent use.
+// Proxy forwards TCP connections to another address and can apply faults to them. It is safe for concurrent use.
 type Proxy struct {
 	l  net.Listener
 	to netip.AddrPort
-	// blocked says which callers are cut off now; it may be nil. What passes a cut is
-	// lost, so such a connection stays silent for good.
+	// blocked reports whether clients at an address are cut off at present; it may be nil. Bytes sent
+	// during a cut are lost, so a connection that met one stays silent permanently.
 	blocked func(from netip.Addr) bool
 
 	mu    sync.Mutex
@@ -53,8 +53,8 @@
 	conns map[net.Conn]struct{}
 }
 
-// NewProxy listens at an address and passes connections on to another. blocked says
-// which callers are cut off now; it may be nil. The clean-up function ends all.
+// NewProxy listens at one address and forwards connections to another. blocked reports whether clients at
+// an address are cut off at present; it may be nil. The clean-up function closes the listener and all connections.
 func NewProxy(
 	ctx context.Context, at, to netip.AddrPort, blocked func(from netip.Addr) bool,
 ) (*Proxy, func(), error) {
@@ -63,10 +63,10 @@
 		return nil, nil, eris.Wrap(err, "proxy")
 	}
 	p := &Proxy{l: l, to: to, blocked: blocked, conns: make(map[net.Conn]struct{})}
-	go p.run()
+	go p.acceptLoop()
 	return p, func() {
 		_ = l.Close()
-		p.cut()
+		p.closeConns()
 	}, nil
 }
 
@@ -76,34 +76,36 @@
 	return l, eris.Wrap(err, "world")
 }
 
-// SetFault changes the fault. A reset cuts what is open.
+// SetFault replaces the fault in force. LinkReset also closes all open connections.
 func (p *Proxy) SetFault(f LinkFault) {
 	p.mu.Lock()
 	p.fault = f
 	p.mu.Unlock()
 	if f == LinkReset {
-		p.cut()
+		p.closeConns()
 	}
 }
 
-// SetRateLimit bounds how fast answers pass. Proxies that share a rate share a link. Nil is no bound.
+// SetRateLimit bounds the rate at which answers pass. Proxies with the same RateLimit share one link. Nil means no
+// bound.
 func (p *Proxy) SetRateLimit(r *RateLimit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rate = r
 }
 
-// await waits until the link can carry so many more bytes of an answer.
-func (p *Proxy) await(n int) {
+// waitForRate waits until the link has carried n more bytes of an answer.
+func (p *Proxy) waitForRate(n int) {
 	p.mu.Lock()
 	r := p.rate
 	p.mu.Unlock()
 	if r != nil {
-		r.await(n)
+		r.wait(n)
 	}
 }
 
-func (p *Proxy) cut() {
+// closeConns closes all open connections.
+func (p *Proxy) closeConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -111,7 +113,8 @@
 	}
 }
 
-func (p *Proxy) get(from netip.Addr) LinkFault {
+// faultFor returns the fault for connections of a client. A cut acts as LinkBlackhole.
+func (p *Proxy) faultFor(from netip.Addr) LinkFault {
 	if p.blocked != nil && p.blocked(from) {
 		return LinkBlackhole
 	}
@@ -120,8 +123,8 @@
 	return p.fault
 }
 
-// caller returns the address of who opened a connection.
-func caller(c net.Conn) netip.Addr {
+// remoteAddr returns the address of the client that opened a connection.
+func remoteAddr(c net.Conn) netip.Addr {
 	at, ok := c.RemoteAddr().(*net.TCPAddr)
 	if !ok {
 		return netip.Addr{}
@@ -129,36 +132,37 @@
 	return at.AddrPort().Addr().Unmap()
 }
 
-func (p *Proxy) run() {
+func (p *Proxy) acceptLoop() {
 	for {
 		c, err := p.l.Accept()
 		if err != nil {
 			return // The proxy was closed.
 		}
-		if p.get(caller(c)) == LinkReset {
+		if p.faultFor(remoteAddr(c)) == LinkReset {
 			_ = c.Close()
 			continue
 		}
-		go p.pass(c)
+		go p.forward(c)
 	}
 }
 
-func (p *Proxy) pass(c net.Conn) {
-	defer p.keep(c)()
+// forward copies bytes between a client's connection and a new one to the target until either ends.
+func (p *Proxy) forward(c net.Conn) {
+	defer p.track(c)()
 	var d net.Dialer
 	up, err := d.DialContext(context.Background(), "tcp4", p.to.String())
 	if err != nil {
-		return // The target ended.
+		return // The target doesn't listen any more.
 	}
-	defer p.keep(up)()
+	defer p.track(up)()
 	done := make(chan struct{}, 2)
-	go p.copy(up, c, caller(c), false, done)
-	go p.copy(c, up, caller(c), true, done)
+	go p.copyBytes(up, c, remoteAddr(c), false, done)
+	go p.copyBytes(c, up, remoteAddr(c), true, done)
 	<-done
 }
 
-// keep notes a connection and returns the function that closes it.
-func (p *Proxy) keep(c net.Conn) func() {
+// track records an open connection and returns the function that closes it.
+func (p *Proxy) track(c net.Conn) func() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
@@ -170,27 +174,27 @@
 	}
 }
 
-// copy passes bytes on. A connection that met silence stays silent for good, as one
-// does that something on the way lost track of.
-func (p *Proxy) copy(dst io.Writer, src io.Reader, from netip.Addr, answers bool, done chan<- struct{}) {
+// copyBytes copies bytes from src to dst with the fault in force. Once bytes were dropped, it drops all later bytes of
+// this direction too, as a device on the path does that has lost the state of a connection.
+func (p *Proxy) copyBytes(dst io.Writer, src io.Reader, from netip.Addr, responses bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buf := make([]byte, proxyBuffer)
+	buf := make([]byte, proxyBufferBytes)
 	silent := false
 	for {
 		n, err := src.Read(buf)
 		if err != nil {
 			return
 		}
-		f := p.get(from)
-		silent = silent || f == LinkBlackhole || f == LinkNoAnswers && answers
+		f := p.faultFor(from)
+		silent = silent || f == LinkBlackhole || f == LinkNoAnswers && responses
 		if silent {
 			continue
 		}
 		if f == LinkSlow {
-			time.Sleep(slowLink)
+			time.Sleep(slowLinkDelay)
 		}
-		if answers {
-			p.await(n)
+		if responses {
+			p.waitForRate(n)
 		}
 		if _, err := dst.Write(buf[:n]); err != nil {
 			return
--- a/internal/standin/world/relay.go
+++ b/internal/standin/world/relay.go
@@ -9,8 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Relay passes datagrams on to an address, and what is answered back, unless the path
-// from their sender is cut. Each sender gets a port of its own, as behind address
+// Relay forwards UDP datagrams to an address, and the replies back to their senders, unless the path
+// from the sender is cut. Each sender gets a port of its own, as with network address
 // translation. It is safe for concurrent use.
 type Relay struct {
 	conn    *net.UDPConn
@@ -22,18 +22,18 @@
 	closed   bool
 }
 
-// maxRelayed is more than any datagram of a world.
-const maxRelayed = 4096
+// maxDatagramBytes is larger than any datagram in a world.
+const maxDatagramBytes = 4096
 
-// NewRelay takes datagrams at an address and passes them on to another. blocked says
-// which senders are cut off now. The clean-up function ends it.
+// NewRelay receives datagrams at one address and forwards them to another. blocked reports
+// whether senders at an address are cut off at present. The clean-up function closes all sockets.
 func NewRelay(at, to netip.AddrPort, blocked func(from netip.Addr) bool) (*Relay, func(), error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "relay")
 	}
 	r := &Relay{conn: conn, to: to, blocked: blocked, sessions: make(map[netip.AddrPort]*net.UDPConn)}
-	go r.run()
+	go r.forwardRequests()
 	return r, r.close, nil
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-func (r *Relay) run() {
-	buf := make([]byte, maxRelayed)
+func (r *Relay) forwardRequests() {
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
 		if eris.Is(err, net.ErrClosed) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// session returns the socket that stands for a sender.
+// session returns the socket for a sender's datagrams, opening it if needed. It returns nil if there is none.
 func (r *Relay) session(from netip.AddrPort) *net.UDPConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,19 +78,19 @@
 	}
 	s = c.(*net.UDPConn)
 	r.sessions[from] = s
-	go r.answers(s, from)
+	go r.forwardReplies(s, from)
 	return s
 }
 
-func (r *Relay) answers(s *net.UDPConn, to netip.AddrPort) {
-	buf := make([]byte, maxRelayed)
+func (r *Relay) forwardReplies(s *net.UDPConn, to netip.AddrPort) {
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, err := s.Read(buf)
 		if eris.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil || r.blocked(to.Addr()) {
-			continue // Such as a port that nobody listens at for a moment.
+			continue // For example, nobody listens at the target port at present.
 		}
 		_, _ = r.conn.WriteToUDPAddrPort(buf[:n], to) // A datagram may be lost.
 	}
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -1,5 +1,5 @@
-// Package world puts balancers that carry flows by cookie among stand-ins on
-// loopback: the store, routers, callers and upstreams, with faults from outside.
+// Package world is a test environment on loopback addresses for balancers that forward flows by cookie. It has
+// stand-ins for the store, routers, callers and upstreams, and injects faults.
 package world
 
 import (
@@ -23,42 +23,44 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// Sizes of a world.
+// Sizes, addresses and times of a world.
 const (
-	zones          = 3
-	slotsPerServer = 4
-	// serverNet and linkNet are the second byte of the addresses of upstreams and of
-	// the relays before them.
-	serverNet = 2
-	linkNet   = 3
+	zones            = 3
+	slotsPerUpstream = 4
+	// upstreamNet and relayNet are the second bytes of the addresses of upstreams and of
+	// the relays in front of them.
+	upstreamNet = 2
+	relayNet    = 3
 	// idleNet is the second byte of the addresses of routes that no caller uses.
 	idleNet        = 19
 	idlePort       = 443
 	connections    = 2000
 	idleTimeout    = 15 * time.Second
 	maxVersionStep = 5
-	workTime       = 10 * time.Millisecond
+	serviceTime    = 10 * time.Millisecond
 	callerPeriod   = 150 * time.Millisecond
 	callerDeadline = 2 * time.Second
-	// lapseAfter is when the entry of an upstream that crashed lapses.
-	lapseAfter = 3600 * time.Millisecond
-	// inForceWithin and drainWithin are the users' bounds.
+	// deregisterAfter is the time from the crash of an upstream until its entry is removed from the store.
+	deregisterAfter = 3600 * time.Millisecond
+	// inForceWithin and drainWithin are bounds that the users require: the time until a new bundle is in force
+	// everywhere, and the time until a draining upstream gets no new flows.
 	inForceWithin = 3 * time.Second
 	drainWithin   = 3 * time.Second
-	// settleAfter is how long after a fault the bounds don't hold.
+	// settleAfter is the time after a fault in which the bounds need not hold.
 	settleAfter = 4 * time.Second
 )
 
-// The services of a world. Callers of Switch are led to one of the two by turns.
+// The services of a world. The switching route leads to the two of them in turn, changing with each version of the
+// bundle that Roll writes.
 const (
 	ServiceFeed   = "feed"
 	ServiceSheets = "sheets"
 )
 
-// Ports are those of one world, the same on all hosts.
+// Ports are the ports of one world. They are the same on all hosts.
 type Ports struct {
 	Data, Ready, Control, Metrics, Store, StoreProxy uint16
-	// Peers is where daemons are reached by others, through a relay.
+	// Peers is the port at which daemons reach each other. A relay and a proxy listen there and forward to Control.
 	Peers uint16
 }
 
@@ -68,12 +70,12 @@
 	Hosts     int
 	Upstreams int
 	Callers   int
-	// IncompressibleRoutes gives the routes that no caller uses names which don't compress, so that a bundle of many is as
-	// large between daemons as it is in the store.
+	// IncompressibleRoutes gives the routes that no caller uses names which don't compress, so that a bundle with
+	// many of them is as large on the wire between daemons as in the store.
 	IncompressibleRoutes bool
 }
 
-// World is the stand-ins of one run. Its methods are safe for concurrent use.
+// World holds the stand-ins of one run. Its methods are safe for concurrent use.
 type World struct {
 	opts    Options
 	ports   Ports
@@ -83,76 +85,84 @@
 	cuts    *cuts
 	cleanup []func()
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	next      int
-	servers   []*Upstream
-	past      []*Upstream
-	version   bundle.Version
-	switches  []switched
-	unstable  time.Time
-	lastRoute string
-	// idleRoutes are routes of the bundle that no caller uses.
+	mu  sync.Mutex
+	rng *rand.Rand
+	// lastIndex numbers the upstreams that were added, for their addresses.
+	lastIndex int
+	upstreams []*Upstream
+	// removed are upstreams that were ended, former incarnations of restarted ones included.
+	removed  []*Upstream
+	version  bundle.Version
+	switches []routeSwitch
+	// unstableUntil is when the last fault ends.
+	unstableUntil time.Time
+	// switchService is the service that the switching route leads to.
+	switchService string
+	// idleRoutes is the number of routes in the bundle that no caller uses.
 	idleRoutes  int
-	evacuations []*evacuated
+	evacuations []*evacuation
 }
 
-// Host is where a balancer runs.
+// Host is a host on which a balancer runs.
 type Host struct {
-	Name       string
-	Zone       string
-	IP         netip.Addr
+	Name string
+	Zone string
+	IP   netip.Addr
+	// StoreProxy is the host's link to the store.
 	StoreProxy *Proxy
-	// Seeds replace the world's first hosts in the settings, if there are any.
+	// Seeds are the seeds in the host's settings. If empty, the first hosts of the world are the seeds.
 	Seeds []netip.AddrPort
-	// CPUShare is the host's share of a core, 1 if it is zero.
+	// CPUShare is the balancer's share of a CPU core. Zero means 1.
 	CPUShare float64
-	// FirstStart says that the whole system starts for the first time.
+	// FirstStart is set if the whole system starts for the first time.
 	FirstStart bool
-	// Regions are those of zones, as they stand in settings, if there are any.
-	Regions string
-	route   *flows.Host
-	// peers is what other daemons' connections pass.
-	peers *Proxy
+	// Regions is the content of the setting with the regions of zones. It may be empty.
+	Regions    string
+	routerHost *flows.Host
+	// peerProxy is the proxy for the TCP connections of other daemons to this host.
+	peerProxy *Proxy
 }
 
-// Upstream is an upstream with its entry in the store.
+// Upstream is a stand-in upstream that is registered in the store.
 type Upstream struct {
 	*flows.Upstream
-	end func()
-	// at is where it is reached, through a relay.
-	at      netip.AddrPort
-	born    time.Time
-	harmed  time.Time
-	drained time.Time
-	// beats counts what the upstream wrote of itself.
-	beats    uint64
+	stop func()
+	// relayAddress is the registered address. A relay forwards from there to the upstream.
+	relayAddress netip.AddrPort
+	startedAt    time.Time
+	// linkCutUntil is when the last cut of its links ends.
+	linkCutUntil time.Time
+	// drainedAt is when it began to drain, zero if it doesn't.
+	drainedAt time.Time
+	// sequence counts the writes of the upstream's entry.
+	sequence uint64
 	crashed  bool
-	crashing time.Time
+	// endedAt is when it was ended, by a crash or after a drain, zero if it wasn't.
+	endedAt time.Time
 }
 
-// switched is a change of the service that the switching route leads to.
-type switched struct {
+// routeSwitch is a change of the switching route to a service.
+type routeSwitch struct {
 	at      time.Time
 	service string
 }
 
-// Addresses that callers send to.
+// The addresses of the routes that callers use.
 var (
-	feedAt   = netip.MustParseAddrPort("198.18.0.1:443")
-	sheetsAt = netip.MustParseAddrPort("198.18.0.2:443")
-	switchAt = netip.MustParseAddrPort("198.18.0.3:443")
+	feedAddress   = netip.MustParseAddrPort("198.18.0.1:443")
+	sheetsAddress = netip.MustParseAddrPort("198.18.0.2:443")
+	switchAddress = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// New starts the stand-ins. The clean-up function ends them.
+// New starts the stand-ins. The clean-up function ends them. Balancers aren't started; see StartProcesses.
 func New(ctx context.Context, o Options) (*World, func(), error) {
 	w := &World{
 		opts: o, Store: metadata.NewStore(), cuts: newCuts(),
-		rng: rand.New(rand.NewPCG(o.Seed, o.Seed)), lastRoute: ServiceFeed,
+		rng: rand.New(rand.NewPCG(o.Seed, o.Seed)), switchService: ServiceFeed,
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	w.cleanup = append(w.cleanup, cancel)
-	for _, step := range []func(context.Context) error{w.findPorts, w.startStore, w.startHosts, w.startServers} {
+	for _, step := range []func(context.Context) error{w.reservePorts, w.startStore, w.startHosts, w.startUpstreams} {
 		if err := step(ctx); err != nil {
 			w.close()
 			return nil, nil, err
@@ -167,35 +177,35 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, s := range w.servers {
-		s.end()
+	for _, s := range w.upstreams {
+		s.stop()
 	}
 }
 
-// findPorts takes ports that are free on the first address of the loopback range, and
-// keeps them there as long as the world stands, so that worlds beside it take others.
-func (w *World) findPorts(ctx context.Context) error {
-	var found []uint16
+// reservePorts chooses ports that are free on the first address of the loopback range, and
+// keeps them open there until the world is closed, so that concurrent worlds choose others.
+func (w *World) reservePorts(ctx context.Context) error {
+	var ports []uint16
 	for range 7 {
 		l, err := listen(ctx, netip.MustParseAddrPort("127.0.0.1:0"))
 		if err != nil {
 			return eris.Wrap(err, "world: ports")
 		}
 		w.cleanup = append(w.cleanup, func() { _ = l.Close() })
-		found = append(found, uint16(l.Addr().(*net.TCPAddr).Port))
+		ports = append(ports, uint16(l.Addr().(*net.TCPAddr).Port))
 	}
 	w.ports = Ports{
-		Data: found[0], Ready: found[1], Control: found[2], Metrics: found[3], Store: found[4], StoreProxy: found[5], Peers: found[6],
+		Data: ports[0], Ready: ports[1], Control: ports[2], Metrics: ports[3], Store: ports[4], StoreProxy: ports[5], Peers: ports[6],
 	}
 	return nil
 }
 
-func (w *World) storeAt() netip.AddrPort {
+func (w *World) storeAddress() netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.250.1"), w.ports.Store)
 }
 
 func (w *World) startStore(ctx context.Context) error {
-	l, err := listen(ctx, w.storeAt())
+	l, err := listen(ctx, w.storeAddress())
 	if err != nil {
 		return eris.Wrap(err, "world: store")
 	}
@@ -212,21 +222,21 @@
 			return err
 		}
 	}
-	routed := make([]*flows.Host, 0, len(w.Hosts))
+	routerHosts := make([]*flows.Host, 0, len(w.Hosts))
 	for _, h := range w.Hosts {
-		routed = append(routed, h.route)
+		routerHosts = append(routerHosts, h.routerHost)
 	}
-	w.Router = flows.NewRouter(ctx, routed)
+	w.Router = flows.NewRouter(ctx, routerHosts)
 	return nil
 }
 
-// AddHost makes a host with a proxy to the store. Routers know those that were there at
-// the start only.
+// AddHost adds a host with a proxy to the store and a link for its peers. Routers send only to the hosts that were
+// there at the start.
 func (w *World) AddHost(ctx context.Context) (*Host, error) {
 	i := len(w.Hosts)
 	ip := netip.AddrFrom4([4]byte{127, 0, byte(1 + i%zones), byte(1 + i/zones)})
 	h := &Host{Name: fmt.Sprintf("host-%d", i+1), Zone: zoneName(i % zones), IP: ip}
-	p, stop, err := NewProxy(ctx, netip.AddrPortFrom(ip, w.ports.StoreProxy), w.storeAt(), nil)
+	p, stop, err := NewProxy(ctx, netip.AddrPortFrom(ip, w.ports.StoreProxy), w.storeAddress(), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -235,12 +245,13 @@
 	w.cuts.mu.Lock()
 	w.cuts.zones[ip] = h.Zone
 	w.cuts.mu.Unlock()
-	h.peers, stop, err = link(ctx, netip.AddrPortFrom(ip, w.ports.Peers), netip.AddrPortFrom(ip, w.ports.Control), w.cuts.toHost(h))
+	h.peerProxy, stop, err = newLink(ctx, netip.AddrPortFrom(ip, w.ports.Peers), netip.AddrPortFrom(ip, w.ports.Control),
+		w.cuts.blockedToHost(h))
 	if err != nil {
 		return nil, err
 	}
 	w.cleanup = append(w.cleanup, stop)
-	h.route = &flows.Host{
+	h.routerHost = &flows.Host{
 		Data:  netip.AddrPortFrom(ip, w.ports.Data),
 		Ready: metadata.ReadinessURL(netip.AddrPortFrom(ip, w.ports.Ready)),
 	}
@@ -248,9 +259,9 @@
 	return h, nil
 }
 
-// link passes datagrams and connections on from one address to another. The clean-up
-// function ends it.
-func link(ctx context.Context, at, to netip.AddrPort, blocked func(from netip.Addr) bool) (*Proxy, func(), error) {
+// newLink forwards UDP datagrams and TCP connections from one address to another, except while blocked
+// reports true for their sender. It returns the proxy for the connections. The clean-up function ends both.
+func newLink(ctx context.Context, at, to netip.AddrPort, blocked func(from netip.Addr) bool) (*Proxy, func(), error) {
 	_, stopRelay, err := NewRelay(at, to, blocked)
 	if err != nil {
 		return nil, nil, err
@@ -268,7 +279,7 @@
 
 func zoneName(i int) string { return "zone-" + strconv.Itoa(i+1) }
 
-func (w *World) startServers(context.Context) error {
+func (w *World) startUpstreams(context.Context) error {
 	for i := range w.opts.Upstreams {
 		service := ServiceFeed
 		if i%3 == 2 {
@@ -281,75 +292,75 @@
 	return nil
 }
 
-// AddUpstream starts an upstream and registers it. It gets an address of its own if
-// none is given.
+// AddUpstream starts an upstream and registers it. If the given address isn't valid, the upstream gets an address of
+// its own.
 func (w *World) AddUpstream(service, zone string, at netip.AddrPort) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next++
+	w.lastIndex++
 	if !at.IsValid() {
-		ip := netip.AddrFrom4([4]byte{127, serverNet, byte(w.next >> 8), byte(w.next)})
+		ip := netip.AddrFrom4([4]byte{127, upstreamNet, byte(w.lastIndex >> 8), byte(w.lastIndex)})
 		at = netip.AddrPortFrom(ip, w.ports.Data)
 	}
 	id := bundle.UpstreamID(w.rng.Uint64N(1 << 40))
-	return w.startServer(flows.UpstreamOptions{
+	return w.startUpstream(flows.UpstreamOptions{
 		ID: id, Service: service, Zone: bundle.Zone(zone), Address: at, CallerPort: w.ports.Data,
-		Work: workTime, Slots: slotsPerServer, Codec: metadata.SegmentCodec{}, Health: metadata.HealthHandler(id),
+		Work: serviceTime, Slots: slotsPerUpstream, Codec: metadata.SegmentCodec{}, Health: metadata.HealthHandler(id),
 	})
 }
 
-// startServer starts an upstream and registers it. w.mu is held.
-func (w *World) startServer(o flows.UpstreamOptions) error {
-	u, end, err := flows.NewUpstream(o)
+// startUpstream starts an upstream and registers it. w.mu must be held.
+func (w *World) startUpstream(o flows.UpstreamOptions) error {
+	u, stop, err := flows.NewUpstream(o)
 	if err != nil {
 		return err
 	}
-	s := &Upstream{Upstream: u, end: end, born: time.Now()}
-	if err := w.link(s); err != nil {
-		end()
+	s := &Upstream{Upstream: u, stop: stop, startedAt: time.Now()}
+	if err := w.addRelay(s); err != nil {
+		stop()
 		return err
 	}
-	w.servers = append(w.servers, s)
+	w.upstreams = append(w.upstreams, s)
 	w.register(s)
 	return nil
 }
 
-// link puts a relay before an upstream, at the same port of another address.
-func (w *World) link(s *Upstream) error {
+// addRelay starts a relay in front of an upstream, at another address with the same port.
+func (w *World) addRelay(s *Upstream) error {
 	ip := s.Address.Addr().As4()
-	ip[1] = linkNet
-	s.at = netip.AddrPortFrom(netip.AddrFrom4(ip), s.Address.Port())
-	_, stop, err := link(context.Background(), s.at, s.Address, w.cuts.toServer(s))
+	ip[1] = relayNet
+	s.relayAddress = netip.AddrPortFrom(netip.AddrFrom4(ip), s.Address.Port())
+	_, stopLink, err := newLink(context.Background(), s.relayAddress, s.Address, w.cuts.blockedToUpstream(s))
 	if err != nil {
 		return err
 	}
-	end := s.end
-	s.end = func() {
-		stop()
-		end()
+	stopUpstream := s.stop
+	s.stop = func() {
+		stopLink()
+		stopUpstream()
 	}
 	return nil
 }
 
-// register writes an upstream's entry. w.mu is held.
+// register writes an upstream's entry to the store. w.mu must be held.
 func (w *World) register(s *Upstream) {
-	s.beats++
+	s.sequence++
 	w.Store.Register(&registry.Registration{
-		ID: s.ID, Service: s.Service, Address: s.at, Zone: s.Zone, Slots: s.Slots, Draining: !s.drained.IsZero(),
-		StartTime: registry.UnixMilli(s.born.UnixMilli()), Sequence: s.beats,
+		ID: s.ID, Service: s.Service, Address: s.relayAddress, Zone: s.Zone, Slots: s.Slots, Draining: !s.drainedAt.IsZero(),
+		StartTime: registry.UnixMilli(s.startedAt.UnixMilli()), Sequence: s.sequence,
 	})
 }
 
-// Settings returns the settings file of a host's daemon.
+// Settings returns the content of the settings file for a host's daemon.
 func (w *World) Settings(h *Host) string {
-	named := h.Seeds
+	seedAddresses := h.Seeds
 	for i := range min(zones, len(w.Hosts)) {
 		if len(h.Seeds) == 0 {
-			named = append(named, netip.AddrPortFrom(w.Hosts[i].IP, w.ports.Peers))
+			seedAddresses = append(seedAddresses, netip.AddrPortFrom(w.Hosts[i].IP, w.ports.Peers))
 		}
 	}
 	seeds := ""
-	for _, at := range named {
+	for _, at := range seedAddresses {
 		seeds += fmt.Sprintf("%q,", at)
 	}
 	at := func(port uint16) string { return strconv.Quote(netip.AddrPortFrom(h.IP, port).String()) }
@@ -363,24 +374,26 @@
 		netip.AddrPortFrom(h.IP, w.ports.StoreProxy))
 }
 
-// DataAddress returns where a host's daemon takes packets.
-func (w *World) DataAddress(h *Host) netip.AddrPort { return h.route.Data }
+// DataAddress returns the address at which a host's daemon receives packets.
+func (w *World) DataAddress(h *Host) netip.AddrPort { return h.routerHost.Data }
 
-// MarkUnstable notes that a fault is at work for a time: the bounds on time don't hold
-// until settleAfter has passed after it.
+// MarkUnstable records that a fault lasts for the time d from now. The bounds on time need not hold
+// until settleAfter has passed after its end.
 func (w *World) MarkUnstable(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if until := time.Now().Add(d); until.After(w.unstable) {
-		w.unstable = until
+	if until := time.Now().Add(d); until.After(w.unstableUntil) {
+		w.unstableUntil = until
 	}
 }
 
-func (w *World) settled(at time.Time) bool { return at.Sub(w.unstable) > settleAfter }
+// boundsHold reports whether the bounds on time must hold for something that happened at a time: more than settleAfter
+// after the last fault. w.mu must be held.
+func (w *World) boundsHold(at time.Time) bool { return at.Sub(w.unstableUntil) > settleAfter }
 
-// find returns the server that a cookie names.
-func (w *World) find(c cookie.Cookie) *Upstream {
-	for _, list := range [][]*Upstream{w.servers, w.past} {
+// upstreamOf returns the upstream that a cookie names, a removed one included, or nil. w.mu must be held.
+func (w *World) upstreamOf(c cookie.Cookie) *Upstream {
+	for _, list := range [][]*Upstream{w.upstreams, w.removed} {
 		for _, s := range list {
 			if cookie.Of(s.ID) == c {
 				return s
