--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller stands in for callers: real CoAP clients that keep a feed open
-// and send requests on the same flow, and judge what comes back.
+// Package caller stands in for callers. Callers are real CoAP clients that keep a feed open,
+// send requests on the same flow, and check the answers.
 package caller
 
 import (
@@ -31,9 +31,9 @@
 	Callers int
 	// Period is the mean time between two requests of one caller.
 	Period time.Duration
-	// FeedSilence is how long a feed may be silent before its flow is broken.
+	// FeedSilence is the longest time without a notification after which a flow still isn't counted as broken.
 	FeedSilence time.Duration
-	// RequestTimeout is how long a caller waits for an answer, repeats included.
+	// RequestTimeout is how long a caller waits for an answer, retransmissions included.
 	RequestTimeout time.Duration
 	Seed           uint64
 }
@@ -55,7 +55,7 @@
 	ledger ledger.Caller
 }
 
-// New starts the callers, spread over one period.
+// New starts the callers, spread over one period. The clean-up function ends them.
 func New(cfg Config) (*Group, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Group{cfg: cfg, cancel: cancel}
@@ -72,8 +72,8 @@
 	g.wg.Wait()
 }
 
-// Finish ends the callers once their requests are answered and returns what
-// they saw.
+// Finish ends the callers once their open requests are answered or timed out, and returns what
+// they recorded.
 func (g *Group) Finish() ledger.Caller {
 	g.stop()
 	g.mu.Lock()
@@ -81,7 +81,7 @@
 	return g.ledger
 }
 
-// Ledger returns what the callers saw until now.
+// Ledger returns what the callers have recorded so far, without the identifiers of refused requests.
 func (g *Group) Ledger() ledger.Caller {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -90,25 +90,30 @@
 	return l
 }
 
-func (g *Group) count(f func(l *ledger.Caller)) {
+// update changes the ledger under the lock.
+func (g *Group) update(f func(l *ledger.Caller)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(&g.ledger)
 }
 
-// caller is one client with one flow.
+// caller is one CoAP client with one flow.
 type caller struct {
 	g    *Group
 	name string
 	rng  *rand.Rand
 	conn *client.Conn
-	n    int
+	// n numbers the requests.
+	n int
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// upstream is the name of the upstream that answered first.
 	upstream string
-	broken   string
-	notified time.Time
-	seq      uint32
+	// broken is the first reason why the flow is broken, empty if it isn't.
+	broken string
+	// lastNotified and lastSeq are the time and number of the last notification of the feed.
+	lastNotified time.Time
+	lastSeq      uint32
 }
 
 func (c *caller) run(ctx context.Context) {
@@ -121,14 +126,14 @@
 		options.WithTransmission(maxStarted, ackTimeout, maxRetransmits),
 		options.WithErrors(func(error) {}))
 	if err != nil {
-		c.g.count(func(l *ledger.Caller) { l.Broken = append(l.Broken, c.name+": "+err.Error()) })
+		c.g.update(func(l *ledger.Caller) { l.Broken = append(l.Broken, c.name+": "+err.Error()) })
 		return
 	}
 	c.conn = conn
 	defer func() { _ = conn.Close() }()
 	opened := c.openFeed(ctx)
 	if opened {
-		c.g.count(func(l *ledger.Caller) { l.Flows++ })
+		c.g.update(func(l *ledger.Caller) { l.Flows++ })
 	}
 	for ctx.Err() == nil {
 		c.request()
@@ -139,11 +144,12 @@
 		}
 	}
 	if opened {
-		c.judge()
+		c.checkFlow()
 	}
 }
 
-// openFeed tries until the feed is open: a refusal says to come back.
+// openFeed retries once per second until the feed is open or ctx ends, since a refusal asks for a later retry. It
+// reports whether the feed is open.
 func (c *caller) openFeed(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		reqCtx, cancel := context.WithTimeout(ctx, c.g.cfg.RequestTimeout)
@@ -168,54 +174,56 @@
 	}
 	req.SetBody(bytes.NewReader([]byte(id)))
 	req.SetContentFormat(message.TextPlain)
-	_, err = c.conn.DoObserve(req, func(m *pool.Message) { c.notification(id, m) })
+	_, err = c.conn.DoObserve(req, func(m *pool.Message) { c.handleNotification(id, m) })
 	return eris.Wrap(err, "observe")
 }
 
-func (c *caller) notification(id ledger.RequestID, m *pool.Message) {
+func (c *caller) handleNotification(id ledger.RequestID, m *pool.Message) {
 	if m.Code() != codes.Content {
-		c.breakFlow("the feed ended with " + m.Code().String())
+		c.markBroken("the feed ended with " + m.Code().String())
 		return
 	}
-	a, ok := c.check(id, m)
+	a, ok := c.checkAnswer(id, m)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.notified = time.Now()
-	c.seq = a.Seq
+	c.lastNotified = time.Now()
+	c.lastSeq = a.Seq
 }
 
-// check judges whether an answer is the one to a request of this flow.
-func (c *caller) check(id ledger.RequestID, m *pool.Message) (ledger.Answer, bool) {
+// checkAnswer decodes an answer and reports whether it belongs to the request and comes from the right service. It
+// marks the flow as broken if another upstream than before answered.
+func (c *caller) checkAnswer(id ledger.RequestID, m *pool.Message) (ledger.Answer, bool) {
 	var a ledger.Answer
 	body, err := m.ReadBody()
 	if err != nil || json.Unmarshal(body, &a) != nil || a.ID != id {
-		c.g.count(func(l *ledger.Caller) { l.WrongAnswers++ })
+		c.g.update(func(l *ledger.Caller) { l.WrongAnswers++ })
 		return a, false
 	}
 	if a.Service != c.g.cfg.Service {
-		c.g.count(func(l *ledger.Caller) { l.WrongService++ })
+		c.g.update(func(l *ledger.Caller) { l.WrongService++ })
 		return a, false
 	}
 	c.mu.Lock()
 	if c.upstream == "" {
 		c.upstream = a.Upstream
 	}
-	holder := c.upstream
+	first := c.upstream
 	c.mu.Unlock()
-	if holder != a.Upstream {
-		c.breakFlow("answers came from " + holder + " and from " + a.Upstream)
+	if first != a.Upstream {
+		c.markBroken("answers came from " + first + " and from " + a.Upstream)
 	}
 	return a, true
 }
 
-func (c *caller) breakFlow(why string) {
+// markBroken records the first reason why the flow is broken.
+func (c *caller) markBroken(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.broken == "" {
-		c.broken = why
+		c.broken = reason
 	}
 }
 
@@ -224,7 +232,7 @@
 	return ledger.RequestID(fmt.Sprintf("%s-%d", c.name, c.n))
 }
 
-// request sends a POST or a GET. It isn't cut off by the end of the run.
+// request sends a POST or a GET and records the outcome. The end of the run doesn't cancel it.
 func (c *caller) request() {
 	ctx, cancel := context.WithTimeout(context.Background(), c.g.cfg.RequestTimeout)
 	defer cancel()
@@ -237,13 +245,13 @@
 	} else {
 		m, err = c.get(ctx, body)
 	}
-	c.g.count(func(l *ledger.Caller) { l.Requests++ })
+	c.g.update(func(l *ledger.Caller) { l.Requests++ })
 	if err != nil {
-		c.g.count(func(l *ledger.Caller) { l.TimedOut++ })
+		c.g.update(func(l *ledger.Caller) { l.TimedOut++ })
 		return
 	}
 	defer c.conn.ReleaseMessage(m)
-	c.outcome(id, m)
+	c.recordOutcome(id, m)
 }
 
 func (c *caller) get(ctx context.Context, body *bytes.Reader) (*pool.Message, error) {
@@ -258,37 +266,37 @@
 	return m, eris.Wrap(err, "get")
 }
 
-func (c *caller) outcome(id ledger.RequestID, m *pool.Message) {
+func (c *caller) recordOutcome(id ledger.RequestID, m *pool.Message) {
 	switch m.Code() {
 	case codes.Content:
-		if _, ok := c.check(id, m); ok {
-			c.g.count(func(l *ledger.Caller) { l.Answered++ })
+		if _, ok := c.checkAnswer(id, m); ok {
+			c.g.update(func(l *ledger.Caller) { l.Answered++ })
 		}
 	case codes.ServiceUnavailable:
-		c.g.count(func(l *ledger.Caller) {
+		c.g.update(func(l *ledger.Caller) {
 			l.Refused++
 			l.RefusedIDs = append(l.RefusedIDs, id)
 		})
 	case codes.GatewayTimeout:
-		c.g.count(func(l *ledger.Caller) { l.Unknown++ })
+		c.g.update(func(l *ledger.Caller) { l.Unknown++ })
 	default:
-		c.g.count(func(l *ledger.Caller) { l.WrongAnswers++ })
+		c.g.update(func(l *ledger.Caller) { l.WrongAnswers++ })
 	}
 }
 
-// judge decides at the end whether the flow held.
-func (c *caller) judge() {
+// checkFlow records at the end of the run whether the flow was broken.
+func (c *caller) checkFlow() {
 	c.mu.Lock()
-	why := c.broken
-	if silent := time.Since(c.notified); why == "" && silent > c.g.cfg.FeedSilence {
-		why = fmt.Sprintf("the feed was silent for %v after notification %d of %s", silent, c.seq, c.upstream)
+	reason := c.broken
+	if silent := time.Since(c.lastNotified); reason == "" && silent > c.g.cfg.FeedSilence {
+		reason = fmt.Sprintf("the feed was silent for %v after notification %d of %s", silent, c.lastSeq, c.upstream)
 	}
 	c.mu.Unlock()
-	if why == "" {
+	if reason == "" {
 		return
 	}
-	c.g.count(func(l *ledger.Caller) {
+	c.g.update(func(l *ledger.Caller) {
 		l.BrokenFlows++
-		l.Broken = append(l.Broken, c.name+": "+why)
+		l.Broken = append(l.Broken, c.name+": "+reason)
 	})
 }
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -13,23 +13,23 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Config describes a stand-in fabric.
+// Config holds the settings of a stand-in fabric.
 type Config struct {
-	// Address takes answers from balancers.
+	// Address is where the fabric receives answers from balancers.
 	Address netip.AddrPort
-	// Services are the addresses that callers send to, with their VNI.
+	// Services are the addresses that callers send to, with their VNIs.
 	Services []Service
-	// Delay is the time to and from callers, one way.
+	// Delay is the one-way network delay between callers and balancers.
 	Delay time.Duration
 }
 
-// Service is an address of a service.
+// Service is one address of a service.
 type Service struct {
 	VNI     bundle.VNI
 	Address netip.AddrPort
 }
 
-// Fabric is a running stand-in.
+// Fabric is a running stand-in fabric.
 type Fabric struct {
 	Spray    Spray
 	cfg      Config
@@ -37,9 +37,11 @@
 	services map[netip.AddrPort]*net.UDPConn
 }
 
+// bufferBytes is the size of a receive buffer, larger than any UDP datagram.
 const bufferBytes = 65536
 
-// New opens the sockets and starts carrying packets.
+// New opens the sockets and starts to forward packets. The clean-up function closes the sockets and waits until
+// forwarding has ended.
 func New(cfg Config) (*Fabric, func(), error) {
 	f := &Fabric{cfg: cfg, services: make(map[netip.AddrPort]*net.UDPConn)}
 	var wg sync.WaitGroup
@@ -65,14 +67,15 @@
 		}
 		f.services[s.Address] = c
 	}
-	wg.Go(f.fromBalancers)
+	wg.Go(f.forwardResponses)
 	for _, s := range cfg.Services {
-		wg.Go(func() { f.fromCallers(s, f.services[s.Address]) })
+		wg.Go(func() { f.forwardRequests(s, f.services[s.Address]) })
 	}
 	return f, cleanup, nil
 }
 
-func (f *Fabric) fromCallers(s Service, c *net.UDPConn) {
+// forwardRequests encapsulates what callers send to a service and sends each packet to a random balancer.
+func (f *Fabric) forwardRequests(s Service, c *net.UDPConn) {
 	buf := make([]byte, bufferBytes)
 	for {
 		n, from, err := c.ReadFromUDPAddrPort(buf)
@@ -85,7 +88,7 @@
 		}
 		h := geneve.Header{VNI: s.VNI, EtherType: geneve.EtherTypeIPv4}
 		b := geneve.Append(nil, &h, nil, inner)
-		f.after(func() {
+		f.delay(func() {
 			if to, ok := f.Spray.Pick(); ok {
 				_, _ = f.out.WriteToUDPAddrPort(b, to)
 			}
@@ -93,7 +96,8 @@
 	}
 }
 
-func (f *Fabric) fromBalancers() {
+// forwardResponses decapsulates what balancers send and forwards it to callers, from the address of the service.
+func (f *Fabric) forwardResponses() {
 	buf := make([]byte, bufferBytes)
 	var h geneve.Header
 	var d ip.Decoder
@@ -113,11 +117,12 @@
 		}
 		payload := append([]byte(nil), p.Payload...)
 		to := p.Dst
-		f.after(func() { _, _ = c.WriteToUDPAddrPort(payload, to) })
+		f.delay(func() { _, _ = c.WriteToUDPAddrPort(payload, to) })
 	}
 }
 
-func (f *Fabric) after(do func()) {
+// delay runs do after the one-way delay, or immediately if there is none.
+func (f *Fabric) delay(do func()) {
 	if f.cfg.Delay == 0 {
 		do()
 		return
--- a/internal/standin/fabric/spray.go
+++ b/internal/standin/fabric/spray.go
@@ -1,5 +1,5 @@
-// Package fabric stands in for the network fabric: it sprays packets over the
-// balancers, packet by packet, and carries answers to callers.
+// Package fabric stands in for the network fabric. It chooses a balancer for each packet of
+// callers anew (packet spraying) and forwards answers to callers.
 package fabric
 
 import (
@@ -8,17 +8,17 @@
 	"sync/atomic"
 )
 
-// Spray picks a balancer for each packet. It is safe for concurrent use.
+// Spray chooses a random balancer for each packet. It is safe for concurrent use.
 type Spray struct {
 	balancers atomic.Pointer[[]netip.AddrPort]
 }
 
-// Set replaces the balancers.
+// Set replaces the list of balancers.
 func (s *Spray) Set(b []netip.AddrPort) {
 	s.balancers.Store(&b)
 }
 
-// Pick returns any balancer, or false if there is none.
+// Pick returns a random balancer, or false if there is none.
 func (s *Spray) Pick() (netip.AddrPort, bool) {
 	b := s.balancers.Load()
 	if b == nil || len(*b) == 0 {
--- a/internal/standin/jsonrpc/jsonrpc.go
+++ b/internal/standin/jsonrpc/jsonrpc.go
@@ -1,5 +1,5 @@
-// Package jsonrpc connects a trial to the stand-in processes that it started,
-// by JSON-RPC 2.0 over their standard input and output.
+// Package jsonrpc connects a trial to the stand-in processes that it started.
+// They communicate by JSON-RPC 2.0 over the standard input and output of the processes.
 package jsonrpc
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Method answers one kind of call.
+// Method handles the calls of one RPC method.
 type Method func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Typed makes a Method of a function with typed parameters.
+// Typed returns a Method that decodes the parameters and calls f with them.
 func Typed[P, R any](f func(ctx context.Context, p P) (R, error)) Method {
 	return func(ctx context.Context, params json.RawMessage) (any, error) {
 		var p P
@@ -27,9 +27,10 @@
 	}
 }
 
-// Empty is the parameter or result of a call without one.
+// Empty is the type of the parameters of a method without parameters, and of the result of one without a result.
 type Empty struct{}
 
+// pipe joins a reader and a writer to one connection.
 type pipe struct {
 	io.Reader
 	io.WriteCloser
@@ -40,7 +41,7 @@
 	return jsonrpc2.NewConn(ctx, s, h)
 }
 
-// Serve answers calls from r until it ends.
+// Serve handles calls that it reads from r, concurrently, and writes the answers to w, until r ends.
 func Serve(ctx context.Context, r io.Reader, w io.WriteCloser, methods map[string]Method) {
 	h := func(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 		m, ok := methods[req.Method]
@@ -57,7 +58,7 @@
 	<-c.DisconnectNotify()
 }
 
-// Client calls a stand-in process.
+// Client calls methods of a stand-in process.
 type Client struct {
 	conn *jsonrpc2.Conn
 }
@@ -65,12 +66,12 @@
 // NewClient returns a client that writes to w and reads from r.
 func NewClient(ctx context.Context, r io.Reader, w io.WriteCloser) *Client {
 	h := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-		return nil, eris.New("no calls are taken here")
+		return nil, eris.New("the client accepts no calls")
 	})
 	return &Client{conn: connect(ctx, r, w, h)}
 }
 
-// Call calls a method and fills result.
+// Call calls a method, waits for the answer, and decodes it into result.
 func (c *Client) Call(ctx context.Context, method string, params, result any) error {
 	return eris.Wrap(c.conn.Call(ctx, method, params, result), method)
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform stands in for the platform's object service, with its faults
-// as switches.
+// Package platform stands in for the platform's object service. Tests and trials can switch
+// faults on and off.
 package platform
 
 import (
@@ -14,27 +14,28 @@
 	"github.com/fescueshed/fescueshed/internal/version/platform"
 )
 
-// Faults are what the service does wrong at present. The zero value is none.
+// Faults are the faults that the service shows at present. The zero value means none.
 type Faults struct {
-	// Down refuses every call.
+	// Down makes the service refuse every call.
 	Down bool
-	// Delay holds each call back for so long.
+	// Delay is how long the service waits before it handles a call.
 	Delay time.Duration
-	// LoseAnswers makes so many of the next writes take effect without an answer.
+	// LoseAnswers is how many of the next writes take effect but get no answer.
 	LoseAnswers int
 }
 
-// Service is the store behind the HTTP handler. It is safe for concurrent use.
+// Service is an in-memory object service that is served by HTTP. It is safe for concurrent use.
 type Service struct {
 	mu      sync.Mutex
 	objects map[string]platform.Object
+	// changed is closed at each write and replaced by a new channel.
 	changed chan struct{}
 	hosts   []platform.Host
 	faults  Faults
 	counts  Counts
 }
 
-// Counts says how often the service was called.
+// Counts holds how many calls of each kind the service received.
 type Counts struct {
 	Reads, Writes, Watches int
 }
@@ -51,14 +52,14 @@
 	s.hosts = h
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults in force.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Counts returns how often the service was called.
+// Counts returns how many calls of each kind the service received.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,6 +102,8 @@
 	_, _ = w.Write(b)
 }
 
+// serveGet returns an object. With the parameter after, it waits for a version later than that, for at most
+// the time in the parameter wait.
 func (s *Service) serveGet(w http.ResponseWriter, r *http.Request, key string) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -111,7 +114,7 @@
 		s.mu.Lock()
 		o, ok := s.objects[key]
 		changed := s.changed
-		s.count(watch)
+		s.countRead(watch)
 		s.mu.Unlock()
 		if ok && (!watch || uint64(o.Version) > after) {
 			w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(uint64(o.Version), 10)))
@@ -133,7 +136,8 @@
 	}
 }
 
-func (s *Service) count(watch bool) {
+// countRead counts a call of serveGet. A watch is counted each time it checks the object. s.mu must be held.
+func (s *Service) countRead(watch bool) {
 	if watch {
 		s.counts.Watches++
 		return
@@ -141,36 +145,39 @@
 	s.counts.Reads++
 }
 
+// servePut writes an object if the condition in the request's headers holds.
 func (s *Service) servePut(w http.ResponseWriter, r *http.Request, key string) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, platform.MaxObjectBytes+1))
 	if err != nil || len(body) > platform.MaxObjectBytes {
-		http.Error(w, "the object is too large or was cut off", http.StatusRequestEntityTooLarge)
+		http.Error(w, "the object exceeds the size limit or its body ended early", http.StatusRequestEntityTooLarge)
 		return
 	}
 	s.mu.Lock()
 	s.counts.Writes++
 	old := s.objects[key]
-	if !matches(r, old.Version) {
+	if !preconditionHolds(r, old.Version) {
 		s.mu.Unlock()
-		http.Error(w, "the object has another version", http.StatusPreconditionFailed)
+		http.Error(w, "the object's version doesn't meet the precondition", http.StatusPreconditionFailed)
 		return
 	}
 	next := old.Version + 1
 	s.objects[key] = platform.Object{Version: next, Body: body}
 	close(s.changed)
 	s.changed = make(chan struct{})
-	lose := s.faults.LoseAnswers > 0
-	if lose {
+	loseAnswer := s.faults.LoseAnswers > 0
+	if loseAnswer {
 		s.faults.LoseAnswers--
 	}
 	s.mu.Unlock()
-	if lose {
+	if loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(uint64(next), 10)))
 }
 
-func matches(r *http.Request, version platform.ObjectVersion) bool {
+// preconditionHolds reports whether an object of a version, zero if there is none, meets a request's If-None-Match or
+// If-Match header.
+func preconditionHolds(r *http.Request, version platform.ObjectVersion) bool {
 	if r.Header.Get("If-None-Match") == "*" {
 		return version == 0
 	}
--- a/internal/standin/upstream/host.go
+++ b/internal/standin/upstream/host.go
@@ -1,6 +1,6 @@
-// Package upstream stands in for an upstream host: its kernel, which takes the
-// packets out of Geneve and routes answers back through the fabric, and a real
-// CoAP server behind it.
+// Package upstream stands in for an upstream host. It consists of the host's kernel, which decapsulates
+// Geneve packets and sends answers back through a random balancer, as the fabric does, and a real CoAP server
+// behind it.
 package upstream
 
 import (
@@ -16,10 +16,11 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
+// bufferBytes is the size of a receive buffer, larger than any UDP datagram.
 const bufferBytes = 65536
 
-// host relays between Geneve and a server on loopback. The server sees each
-// flow as a socket of its own.
+// host forwards between Geneve and a server on loopback. It has one socket per flow towards the server, so that the
+// server sees each flow as a separate client.
 type host struct {
 	vni      bundle.VNI
 	services map[netip.AddrPort]bool
@@ -29,11 +30,12 @@
 
 	mu    sync.Mutex
 	flows map[flow]*net.UDPConn
-	// wrong counts packets that weren't for this service.
-	wrong int
-	wg    sync.WaitGroup
+	// misdirected counts packets that can't be decoded or have another VNI or service address.
+	misdirected int
+	wg          sync.WaitGroup
 }
 
+// flow is the address pair that identifies a flow.
 type flow struct {
 	caller, service netip.AddrPort
 }
@@ -54,10 +56,11 @@
 	for _, a := range cfg.Services {
 		h.services[a] = true
 	}
-	h.wg.Go(h.fromBalancers)
+	h.wg.Go(h.forwardRequests)
 	return h, h.close, nil
 }
 
+// close closes all sockets and waits until the forwarding goroutines have ended.
 func (h *host) close() {
 	_ = h.geneve.Close()
 	h.mu.Lock()
@@ -68,7 +71,8 @@
 	h.wg.Wait()
 }
 
-func (h *host) fromBalancers() {
+// forwardRequests forwards packets from balancers to the server, each from the socket of its flow.
+func (h *host) forwardRequests() {
 	buf := make([]byte, bufferBytes)
 	var header geneve.Header
 	var d ip.Decoder
@@ -81,17 +85,18 @@
 		inner, err := geneve.Decode(buf[:n], &header)
 		if err != nil || d.Decode(inner, &p) != nil || header.VNI != h.vni || !h.services[p.Dst] {
 			h.mu.Lock()
-			h.wrong++
+			h.misdirected++
 			h.mu.Unlock()
 			continue
 		}
-		if c := h.flow(flow{caller: p.Src, service: p.Dst}); c != nil {
+		if c := h.connFor(flow{caller: p.Src, service: p.Dst}); c != nil {
 			_, _ = c.Write(p.Payload)
 		}
 	}
 }
 
-func (h *host) flow(f flow) *net.UDPConn {
+// connFor returns the socket of a flow, opening it if needed. It returns nil if no socket can be opened.
+func (h *host) connFor(f flow) *net.UDPConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c, ok := h.flows[f]; ok {
@@ -102,11 +107,12 @@
 		return nil
 	}
 	h.flows[f] = c
-	h.wg.Go(func() { h.fromServer(f, c) })
+	h.wg.Go(func() { h.forwardResponses(f, c) })
 	return c
 }
 
-func (h *host) fromServer(f flow, c *net.UDPConn) {
+// forwardResponses encapsulates what the server sends to one flow and sends it to a random balancer.
+func (h *host) forwardResponses(f flow, c *net.UDPConn) {
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := c.Read(buf)
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -28,12 +28,13 @@
 	Name    string
 	Zone    bundle.Zone
 	VNI     bundle.VNI
-	// Address takes Geneve packets.
+	// Address is where the host receives Geneve packets.
 	Address netip.AddrPort
-	// Services are the addresses for which it answers.
+	// Services are the service addresses for which the upstream answers.
 	Services []netip.AddrPort
-	Slots    int
-	// ServiceTime is how long one request takes.
+	// Slots is the number of requests that run at the same time.
+	Slots int
+	// ServiceTime is how long one request occupies a slot.
 	ServiceTime time.Duration
 	// FeedPeriod is the time between two notifications of a feed.
 	FeedPeriod time.Duration
@@ -45,24 +46,28 @@
 	maxRetransmits = 4
 )
 
-// queuePerSlot is how many requests may wait for each slot before more are shed.
+// queuePerSlot is how many requests per slot may wait before further ones are refused with 5.03.
 const queuePerSlot = 4
 
-// Upstream is a running stand-in.
+// Upstream is a running stand-in upstream.
 type Upstream struct {
 	Spray fabric.Spray
 	cfg   Config
 	host  *host
 	slots chan struct{}
+	// queue bounds the requests that run or wait.
 	queue chan struct{}
-	ctx   context.Context
+	// ctx ends with the upstream.
+	ctx context.Context
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// busy is the time for which slots were in use, added up.
 	busy time.Duration
+	// runs counts how often each POST request ran.
 	runs map[ledger.RequestID]int
 }
 
-// New starts the server and the host in front of it.
+// New starts the server and the host in front of it. The clean-up function ends both.
 func New(cfg Config) (*Upstream, func(), error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	u := &Upstream{
@@ -103,7 +108,7 @@
 	return u, cleanup, nil
 }
 
-// Ledger returns what the upstream did until now.
+// Ledger returns what the upstream has recorded so far.
 func (u *Upstream) Ledger() ledger.Upstream {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -115,10 +120,12 @@
 	defer u.host.mu.Unlock()
 	return ledger.Upstream{
 		Service: u.cfg.Service, Name: u.cfg.Name, Zone: u.cfg.Zone,
-		Busy: u.busy, Runs: runs, WrongService: u.host.wrong,
+		Busy: u.busy, Runs: runs, WrongService: u.host.misdirected,
 	}
 }
 
+// serve answers one request. The body of a request is its identifier. A GET with the observe option opens a feed. Other
+// requests wait for a slot, or are refused if the queue is full; runs of POST requests are counted by identifier.
 func (u *Upstream) serve(w mux.ResponseWriter, r *mux.Message) {
 	body, err := r.ReadBody()
 	if err != nil {
@@ -127,8 +134,8 @@
 	id := ledger.RequestID(body)
 	if obs, err := r.Options().Observe(); err == nil && obs == 0 && r.Code() == codes.GET {
 		token := append(message.Token(nil), r.Token()...)
-		if u.answer(w, id, 1, true) == nil {
-			go u.feed(w.Conn(), token, id)
+		if u.respond(w, id, 1, true) == nil {
+			go u.sendNotifications(w.Conn(), token, id)
 		}
 		return
 	}
@@ -150,10 +157,10 @@
 	u.mu.Unlock()
 	<-u.slots
 	<-u.queue
-	_ = u.answer(w, id, 0, false)
+	_ = u.respond(w, id, 0, false)
 }
 
-func (u *Upstream) answer(w mux.ResponseWriter, id ledger.RequestID, seq uint32, observe bool) error {
+func (u *Upstream) respond(w mux.ResponseWriter, id ledger.RequestID, seq uint32, observe bool) error {
 	var opts message.Options
 	if observe {
 		opts, _, _ = opts.SetObserve(make([]byte, 4), seq)
@@ -164,13 +171,13 @@
 func (u *Upstream) body(id ledger.RequestID, seq uint32) []byte {
 	b, err := json.Marshal(ledger.Answer{ID: id, Service: u.cfg.Service, Upstream: u.cfg.Name, Seq: seq})
 	if err != nil {
-		panic(err) // Strings and integers always encode.
+		panic(err) // Strings and integers can always be encoded.
 	}
 	return b
 }
 
-// feed sends notifications until the upstream or the connection ends.
-func (u *Upstream) feed(cc mux.Conn, token message.Token, id ledger.RequestID) {
+// sendNotifications sends the notifications of a feed until the upstream or the connection ends.
+func (u *Upstream) sendNotifications(cc mux.Conn, token message.Token, id ledger.RequestID) {
 	t := time.NewTicker(u.cfg.FeedPeriod)
 	defer t.Stop()
 	for seq := uint32(2); ; seq++ {
