--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -31,7 +31,8 @@
 	Callers int
 	// Period is the mean time between two requests of one caller.
 	Period time.Duration
-	// FeedSilence is the longest time without a notification after which a flow still isn't counted as broken.
+	// FeedSilence is the longest allowed time without a notification. A flow whose feed is silent for longer at the
+	// end of the run counts as broken.
 	FeedSilence time.Duration
 	// RequestTimeout is how long a caller waits for an answer, retransmissions included.
 	RequestTimeout time.Duration
@@ -148,8 +149,8 @@
 	}
 }
 
-// openFeed retries once per second until the feed is open or ctx ends, since a refusal asks for a later retry. It
-// reports whether the feed is open.
+// openFeed requests the feed until it is open or ctx ends, and reports whether it is open. A refusal asks for a later
+// retry, so openFeed pauses for one second after each failure.
 func (c *caller) openFeed(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		reqCtx, cancel := context.WithTimeout(ctx, c.g.cfg.RequestTimeout)
--- a/internal/standin/world/proxy.go
+++ b/internal/standin/world/proxy.go
@@ -150,14 +150,14 @@
 func (p *Proxy) forward(c net.Conn) {
 	defer p.track(c)()
 	var d net.Dialer
-	up, err := d.DialContext(context.Background(), "tcp4", p.to.String())
+	target, err := d.DialContext(context.Background(), "tcp4", p.to.String())
 	if err != nil {
 		return // The target doesn't listen any more.
 	}
-	defer p.track(up)()
+	defer p.track(target)()
 	done := make(chan struct{}, 2)
-	go p.copyBytes(up, c, remoteAddr(c), false, done)
-	go p.copyBytes(c, up, remoteAddr(c), true, done)
+	go p.copyBytes(target, c, remoteAddr(c), false, done)
+	go p.copyBytes(c, target, remoteAddr(c), true, done)
 	<-done
 }
 
