--- a/internal/standin/flows/caller.go
+++ b/internal/standin/flows/caller.go
@@ -18,7 +18,7 @@
 // CallerOptions are the settings of a Caller.
 type CallerOptions struct {
 	IP netip.Addr
-	// Port is the port at which all callers take datagrams.
+	// Port is the UDP port on which all callers receive datagrams.
 	Port       uint16
 	Service    netip.AddrPort
 	Idempotent bool
@@ -28,53 +28,55 @@
 	Router     *Router
 	Codec      Codec
 	Rng        *rand.Rand
-	// FlowPerRequest makes a flow for each request.
+	// FlowPerRequest opens a new flow for each request.
 	FlowPerRequest bool
-	// MayAnswer says whether a service may answer a flow that was opened at a time.
+	// MayAnswer reports whether a service may answer on a flow that was opened at a time.
 	MayAnswer func(service string, opened time.Time) bool
-	// ResetAllowed says whether a reset of an open flow is allowed. The cookie is the one
-	// that the flow opened with.
-	ResetAllowed func(at cookie.Cookie, caller netip.AddrPort) (allowed bool)
+	// ResetAllowed reports whether a reset of an open flow is allowed. openedCookie is the cookie
+	// with which the flow opened, caller the caller's address.
+	ResetAllowed func(openedCookie cookie.Cookie, caller netip.AddrPort) (allowed bool)
 }
 
 // CallerStats is what a caller saw.
 type CallerStats struct {
 	Requests, Answered, Unanswered int
 	Opened, FailedOpens, Reset     int
-	// Violations tells of each broken promise.
+	// Violations describes each violation of a guarantee, with its time of day.
 	Violations []string
-	// Outcomes has the time and success of each request, for availability over time.
+	// Outcomes holds the time and success of each request, for computing availability over time.
 	Outcomes []Outcome
 }
 
-// Outcome is the end of one request.
+// Outcome is the result of one request.
 type Outcome struct {
+	// At is when the request started.
 	At       time.Time
 	Answered bool
 }
 
-// Caller is a stand-in caller with one flow at a time.
+// Caller is a stand-in caller with one flow at a time. It isn't safe for concurrent use.
 type Caller struct {
 	CallerOptions
-	conn  *net.UDPConn
-	port  uint16
-	in    chan *Segment
-	tally CallerStats
+	conn     *net.UDPConn
+	port     uint16
+	incoming chan *Segment
+	stats    CallerStats
 
-	open     bool
-	opened   time.Time
-	at       cookie.Cookie
-	cookie   cookie.Cookie
-	seq, ack uint32
+	open         bool
+	opened       time.Time
+	openedCookie cookie.Cookie
+	cookie       cookie.Cookie
+	seq, ack     uint32
 }
 
-// NewCaller opens the caller's socket. The clean-up function closes it.
+// NewCaller opens the caller's socket and starts to receive. The returned function closes the
+// socket.
 func NewCaller(o CallerOptions) (*Caller, func(), error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(o.IP, o.Port)))
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "stand-in caller")
+		return nil, nil, eris.Wrap(err, "stand-in caller: open socket")
 	}
-	c := &Caller{CallerOptions: o, conn: conn, port: uint16(1024 + o.Rng.IntN(1000)), in: make(chan *Segment, 64)}
+	c := &Caller{CallerOptions: o, conn: conn, port: uint16(1024 + o.Rng.IntN(1000)), incoming: make(chan *Segment, 64)}
 	go c.read()
 	return c, func() { _ = conn.Close() }, nil
 }
@@ -91,27 +93,28 @@
 		}
 		if s, err := c.Codec.Decode(buf[:n]); err == nil {
 			select {
-			case c.in <- s:
-			default: // The caller is busy; what is lost is repeated.
+			case c.incoming <- s:
+			default: // The caller is busy. The sender retransmits the dropped segment.
 			}
 		}
 	}
 }
 
-// Run makes requests until ctx ends and returns what the caller saw.
+// Run sends requests until ctx ends and returns what the caller saw.
 func (c *Caller) Run(ctx context.Context) CallerStats {
 	for ctx.Err() == nil {
-		c.pause(ctx)
+		c.awaitNextRequest(ctx)
 		if ctx.Err() != nil {
 			break
 		}
 		c.request()
 	}
-	return c.tally
+	return c.stats
 }
 
-// pause waits for the next request's time and takes in what comes meanwhile.
-func (c *Caller) pause(ctx context.Context) {
+// awaitNextRequest waits a random time of 0.5 to 1.5 periods and handles the segments that arrive
+// meanwhile.
+func (c *Caller) awaitNextRequest(ctx context.Context) {
 	t := time.NewTimer(c.Period/2 + time.Duration(c.Rng.Int64N(int64(c.Period))))
 	defer t.Stop()
 	for {
@@ -120,21 +123,21 @@
 			return
 		case <-t.C:
 			return
-		case s := <-c.in:
-			c.idle(s)
+		case s := <-c.incoming:
+			c.handleIdle(s)
 		}
 	}
 }
 
-// idle takes in a segment between requests.
-func (c *Caller) idle(s *Segment) {
-	if !c.mine(s) || !c.open {
+// handleIdle handles a segment that arrives between requests.
+func (c *Caller) handleIdle(s *Segment) {
+	if !c.isForFlow(s) || !c.open {
 		return
 	}
 	c.cookie = s.Cookie
 	switch {
 	case s.Flags.Has(cookie.FlagRST):
-		c.wasReset(s)
+		c.handleReset(s)
 	case s.Flags.Has(cookie.FlagFIN):
 		c.close(s)
 	case len(s.Data) > 0:
@@ -142,7 +145,7 @@
 	}
 }
 
-func (c *Caller) mine(s *Segment) bool { return s.To.Port() == c.port && s.From == c.Service }
+func (c *Caller) isForFlow(s *Segment) bool { return s.To.Port() == c.port && s.From == c.Service }
 
 func (c *Caller) close(s *Segment) {
 	c.ack = s.Seq + uint32(len(s.Data)) + 1
@@ -150,29 +153,32 @@
 	c.open = false
 }
 
-func (c *Caller) wasReset(s *Segment) {
+func (c *Caller) handleReset(s *Segment) {
 	if int32(s.Seq-c.ack) > resetWindow || int32(c.ack-s.Seq) > resetWindow {
 		return
 	}
 	c.open = false
-	c.tally.Reset++
-	if !c.ResetAllowed(c.at, c.end()) {
-		c.broke("open flow %v with cookie %x was reset", c.end(), c.at)
+	c.stats.Reset++
+	if !c.ResetAllowed(c.openedCookie, c.localAddress()) {
+		c.addViolation("open flow %v with cookie %x was reset without an allowed cause", c.localAddress(), c.openedCookie)
 	}
 }
 
-// resetWindow is how far from the caller's number a reset may be.
+// resetWindow is the maximum distance between the sequence number of a reset and the one that the
+// caller expects.
 const resetWindow = 76_800
 
-func (c *Caller) broke(format string, args ...any) {
-	c.tally.Violations = append(c.tally.Violations, fmt.Sprintf("%s: ", time.Now().Format("15:04:05.000"))+fmt.Sprintf(format, args...))
+func (c *Caller) addViolation(format string, args ...any) {
+	c.stats.Violations = append(c.stats.Violations,
+		fmt.Sprintf("%s: ", time.Now().Format("15:04:05.000"))+fmt.Sprintf(format, args...))
 }
 
-func (c *Caller) end() netip.AddrPort { return netip.AddrPortFrom(c.IP, c.port) }
+func (c *Caller) localAddress() netip.AddrPort { return netip.AddrPortFrom(c.IP, c.port) }
 
-// request makes one request, with retries if it may be repeated.
+// request makes one request. It retries after a failure if the request is idempotent or the flow
+// couldn't be opened.
 func (c *Caller) request() {
-	c.tally.Requests++
+	c.stats.Requests++
 	began := time.Now()
 	answered := false
 	for try := 0; try <= c.Retries && !answered && time.Since(began) < c.Deadline; try++ {
@@ -185,77 +191,80 @@
 		}
 	}
 	if answered {
-		c.tally.Answered++
+		c.stats.Answered++
 	} else {
-		c.tally.Unanswered++
+		c.stats.Unanswered++
 	}
-	c.tally.Outcomes = append(c.tally.Outcomes, Outcome{At: began, Answered: answered})
+	c.stats.Outcomes = append(c.stats.Outcomes, Outcome{At: began, Answered: answered})
 }
 
-// connect opens a flow from a new port.
+// connect opens a flow from a new port and reports whether it succeeded.
 func (c *Caller) connect() bool {
 	c.port++
 	c.seq, c.cookie = c.Rng.Uint32(), 0
 	c.opened = time.Now()
 	first := &Segment{Flags: cookie.FlagSYN, Seq: c.seq}
-	copies := []time.Duration{repeatAfterMs * time.Millisecond, secondCopyMs * time.Millisecond, giveUpOpenMs * time.Millisecond}
+	waits := []time.Duration{
+		retransmitMs * time.Millisecond, secondRetransmitMs * time.Millisecond, openTimeoutMs * time.Millisecond,
+	}
 	began := time.Now()
 	c.send(first)
-	for n, at := range copies {
-		s := c.await(at - time.Since(began))
+	for n, at := range waits {
+		s := c.receive(at - time.Since(began))
 		switch {
 		case s == nil:
 			first.Copy = uint32(n + 1)
-			if n < len(copies)-1 {
+			if n < len(waits)-1 {
 				c.send(first)
 			}
 		case s.Flags.Has(cookie.FlagRST):
-			c.tally.FailedOpens++
+			c.stats.FailedOpens++
 			return false
 		default:
 			c.seq++
-			c.ack, c.cookie, c.at, c.open = s.Seq+1, s.Cookie, s.Cookie, true
-			c.tally.Opened++
+			c.ack, c.cookie, c.openedCookie, c.open = s.Seq+1, s.Cookie, s.Cookie, true
+			c.stats.Opened++
 			c.send(&Segment{Flags: cookie.FlagACK, Seq: c.seq, Ack: c.ack})
 			return true
 		}
 	}
-	c.tally.FailedOpens++
+	c.stats.FailedOpens++
 	return false
 }
 
-// await returns the next segment of this flow, or nil after the wait.
-func (c *Caller) await(wait time.Duration) *Segment {
+// receive returns the next segment of this flow, or nil if none arrives within the wait.
+func (c *Caller) receive(wait time.Duration) *Segment {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			return nil
-		case s := <-c.in:
-			if c.mine(s) {
+		case s := <-c.incoming:
+			if c.isForFlow(s) {
 				return s
 			}
 		}
 	}
 }
 
-// exchange sends a request over the open flow and waits for its answer.
+// exchange sends a request on the open flow, retransmits it until the deadline, and reports
+// whether it was answered. If it wasn't, the caller resets the flow.
 func (c *Caller) exchange(began time.Time) bool {
 	id := RequestID(c.Rng.Uint64())
 	data := binary.BigEndian.AppendUint64(nil, uint64(id))
 	req := &Segment{Flags: cookie.FlagACK, Seq: c.seq, Ack: c.ack, Data: data}
 	c.seq += uint32(len(data))
-	wait := repeatAfterMs * time.Millisecond
+	wait := retransmitMs * time.Millisecond
 	for c.open && time.Since(began) < c.Deadline {
 		req.Ack = c.ack
 		c.send(req)
-		for s := c.await(wait); s != nil; s = c.await(wait) {
-			if answered, done := c.takeAnswer(s, id); done {
+		for s := c.receive(wait); s != nil; s = c.receive(wait) {
+			if answered, done := c.handleAnswer(s, id); done {
 				return answered
 			}
 		}
-		wait = min(2*wait, maxRepeats*repeatAfterMs*time.Millisecond)
+		wait = min(2*wait, maxRetransmits*retransmitMs*time.Millisecond)
 	}
 	if c.open {
 		c.send(&Segment{Flags: cookie.FlagRST, Seq: c.seq, Ack: c.ack})
@@ -264,10 +273,11 @@
 	return false
 }
 
-// takeAnswer reports whether a segment answers the request, and whether it ends it.
-func (c *Caller) takeAnswer(s *Segment, id RequestID) (answered, done bool) {
+// handleAnswer handles a segment that arrives during a request. It reports whether the segment
+// answers the request, and whether the request is done.
+func (c *Caller) handleAnswer(s *Segment, id RequestID) (answered, done bool) {
 	if s.Flags.Has(cookie.FlagRST) {
-		c.wasReset(s)
+		c.handleReset(s)
 		return false, !c.open
 	}
 	c.cookie = s.Cookie
@@ -276,7 +286,7 @@
 	}
 	var a Answer
 	if err := json.Unmarshal(s.Data, &a); err != nil || a.ID != id || !c.MayAnswer(a.Service, c.opened) {
-		c.broke("answer %+v to request %x, flow of %v", a, id, c.opened.Format("15:04:05.000"))
+		c.addViolation("wrong answer %+v to request %x on the flow opened at %v", a, id, c.opened.Format("15:04:05.000"))
 		return false, true
 	}
 	if s.Flags.Has(cookie.FlagFIN) || c.FlowPerRequest {
@@ -289,9 +299,9 @@
 }
 
 func (c *Caller) send(s *Segment) {
-	s.From, s.To, s.Cookie = c.end(), c.Service, c.cookie
+	s.From, s.To, s.Cookie = c.localAddress(), c.Service, c.cookie
 	if at, ok := c.Router.Pick(s.From, s.To); ok {
-		// What is lost is repeated.
+		// Lost segments are retransmitted, so errors are ignored.
 		_, _ = c.conn.WriteToUDPAddrPort(c.Codec.Encode(s), at)
 	}
 }
--- a/internal/standin/flows/router.go
+++ b/internal/standin/flows/router.go
@@ -10,48 +10,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Router spreads callers' datagrams over the balancers that are ready, by a hash
-// modulo their number: nearly all flows move when one joins or leaves. It is safe
-// for concurrent use.
+// Router distributes callers' datagrams over the balancers that are ready, by a hash modulo their
+// number. Nearly all flows move to another balancer when one joins or leaves. It is safe for
+// concurrent use.
 type Router struct {
 	mu       sync.Mutex
 	hosts    []*Host
 	rotation []*Host
-	// cut drops what goes to these.
-	cut map[netip.AddrPort]bool
+	// unreachable holds the balancers whose datagrams are dropped.
+	unreachable map[netip.AddrPort]bool
 }
 
-// Host is a balancer as routers know it.
+// Host is a balancer to which routers send datagrams.
 type Host struct {
 	DataAddress netip.AddrPort
-	// ReadinessURL is asked over HTTP.
+	// ReadinessURL is the HTTP URL of the readiness check.
 	ReadinessURL string
 	misses       int
-	in           bool
+	inRotation   bool
 }
 
 const (
-	// checkPeriod and maxMisses are how routers look whether a balancer is ready.
+	// checkPeriod is the interval of readiness checks. A balancer leaves the rotation after
+	// maxMisses consecutive failed ones.
 	checkPeriod  = 500 * time.Millisecond
 	checkTimeout = 400 * time.Millisecond
 	maxMisses    = 2
 )
 
-// NewRouter returns a router that checks its hosts until ctx ends.
+// NewRouter returns a router that checks the readiness of its hosts until ctx ends.
 func NewRouter(ctx context.Context, hosts []*Host) *Router {
-	r := &Router{hosts: hosts, cut: make(map[netip.AddrPort]bool)}
+	r := &Router{hosts: hosts, unreachable: make(map[netip.AddrPort]bool)}
 	client := &http.Client{Timeout: checkTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, h := range hosts {
-		go r.check(ctx, client, h)
+		go r.checkReadiness(ctx, client, h)
 	}
 	return r
 }
 
-func (r *Router) check(ctx context.Context, client *http.Client, h *Host) {
+func (r *Router) checkReadiness(ctx context.Context, client *http.Client, h *Host) {
 	t := time.NewTicker(checkPeriod)
 	defer t.Stop()
 	for {
-		r.checked(h, ready(ctx, client, h.ReadinessURL))
+		r.recordCheck(h, ready(ctx, client, h.ReadinessURL))
 		select {
 		case <-ctx.Done():
 			return
@@ -73,48 +74,49 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (r *Router) checked(h *Host, ok bool) {
+func (r *Router) recordCheck(h *Host, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ok {
-		h.misses, h.in = 0, true
+		h.misses, h.inRotation = 0, true
 	} else if h.misses++; h.misses >= maxMisses {
-		h.in = false
+		h.inRotation = false
 	}
 	r.rotation = r.rotation[:0]
 	for _, h := range r.hosts {
-		if h.in {
+		if h.inRotation {
 			r.rotation = append(r.rotation, h)
 		}
 	}
 	if 2*len(r.rotation) < len(r.hosts) {
-		// So few can't carry all, and a check may be wrong: all are used, as if none
-		// had missed one.
+		// Fewer than half couldn't serve all flows, and the checks may be wrong. So use all, as if
+		// no check had failed.
 		r.rotation = append(r.rotation[:0], r.hosts...)
 	}
 }
 
-// InRotation returns how many balancers get packets.
+// InRotation returns the number of balancers whose readiness checks succeed.
 func (r *Router) InRotation() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for _, h := range r.hosts {
-		if h.in {
+		if h.inRotation {
 			n++
 		}
 	}
 	return n
 }
 
-// SetUnreachable drops what goes to a balancer, or ends that.
-func (r *Router) SetUnreachable(host netip.AddrPort, cut bool) {
+// SetUnreachable starts or stops dropping all datagrams to a balancer.
+func (r *Router) SetUnreachable(host netip.AddrPort, unreachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut[host] = cut
+	r.unreachable[host] = unreachable
 }
 
-// Pick returns the balancer for a flow.
+// Pick returns the balancer for a datagram, and whether the router delivers it. It doesn't before
+// the first readiness check has completed, or if the picked balancer is unreachable.
 func (r *Router) Pick(from, to netip.AddrPort) (netip.AddrPort, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,5 +125,5 @@
 	}
 	h := xxhash.Sum64String(from.String() + to.String())
 	at := r.rotation[h%uint64(len(r.rotation))].DataAddress
-	return at, !r.cut[at]
+	return at, !r.unreachable[at]
 }
--- a/internal/standin/flows/segment.go
+++ b/internal/standin/flows/segment.go
@@ -1,6 +1,6 @@
-// Package flows holds stand-ins for the two ends of flows that carry a cookie, and
-// for the routers between them and the balancers. What they count is the proof of
-// what the balancers promise; the balancers have no part in it.
+// Package flows contains stand-ins for the callers and upstreams of flows that carry a cookie,
+// and for the routers between callers and balancers. Their counts verify what the balancers
+// guarantee, independently of the balancers' own code.
 package flows
 
 import (
@@ -10,32 +10,34 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Segment is what one end of a flow sends to the other.
+// Segment is a message from one end of a flow to the other.
 type Segment struct {
 	From, To netip.AddrPort
 	Flags    cookie.Flags
 	Seq, Ack uint32
-	Copy     uint32
-	Cookie   cookie.Cookie
-	Data     []byte
+	// Copy is the number of retransmissions of a first packet so far.
+	Copy   uint32
+	Cookie cookie.Cookie
+	Data   []byte
 }
 
-// Codec is how segments stand on the wire.
+// Codec encodes and decodes segments.
 type Codec interface {
 	Encode(s *Segment) []byte
 	Decode(b []byte) (*Segment, error)
-	// DecodeAtUpstream reads what a balancer forwards, with the intended upstream.
+	// DecodeAtUpstream decodes a datagram that a balancer forwarded. It also returns the upstream
+	// for which it is meant.
 	DecodeAtUpstream(b []byte) (bundle.UpstreamID, *Segment, error)
 }
 
-// Times of the two ends.
+// Retransmission of the two ends, and the largest datagram in bytes.
 const (
-	repeatAfterMs = 200
-	maxRepeats    = 8
-	giveUpOpenMs  = 1400
-	secondCopyMs  = 600
-	maxDatagram   = 2048
+	retransmitMs       = 200
+	maxRetransmits     = 8
+	openTimeoutMs      = 1400
+	secondRetransmitMs = 600
+	maxDatagram        = 2048
 )
 
-// RequestID names a request.
+// RequestID identifies a request.
 type RequestID uint64
--- a/internal/standin/flows/upstream.go
+++ b/internal/standin/flows/upstream.go
@@ -22,16 +22,18 @@
 	Service string
 	Zone    bundle.Zone
 	Address netip.AddrPort
-	// CallerPort is the port at which callers take datagrams.
+	// CallerPort is the UDP port on which callers receive datagrams.
 	CallerPort uint16
-	WorkTime   time.Duration
-	Slots      int
-	Codec      Codec
-	// Health answers health requests.
+	// WorkTime is the processing time of a request, Slots the number of requests processed
+	// concurrently.
+	WorkTime time.Duration
+	Slots    int
+	Codec    Codec
+	// Health handles health requests.
 	Health http.Handler
 }
 
-// Answer is what an upstream answers a request with.
+// Answer is the body of an upstream's answer to a request.
 type Answer struct {
 	ID       RequestID
 	Upstream bundle.UpstreamID
@@ -46,48 +48,48 @@
 	slots chan struct{}
 
 	mu       sync.Mutex
-	flows    map[netip.AddrPort]*served
+	flows    map[netip.AddrPort]*upstreamFlow
 	runs     map[RequestID]int
 	resets   map[netip.AddrPort]bool
 	opened   map[netip.AddrPort]time.Time
-	dark     bool
+	silent   bool
 	closed   bool
 	draining bool
 }
 
-// served is one flow at its upstream.
-type served struct {
-	caller, service netip.AddrPort
-	open            bool
-	cookie          cookie.Cookie
-	next, expected  uint32
-	unacked         []*Segment
-	repeats         int
+// upstreamFlow is the upstream's side of a flow.
+type upstreamFlow struct {
+	caller, service      netip.AddrPort
+	open                 bool
+	cookie               cookie.Cookie
+	nextSeq, expectedSeq uint32
+	unacked              []*Segment
+	retransmits          int
 }
 
-// NewUpstream opens the sockets of an upstream. The clean-up function ends it as a
-// crash does: without a word to its callers.
+// NewUpstream opens the sockets of an upstream and starts to serve. The returned function stops
+// it as a crash does: without notifying its callers.
 func NewUpstream(o UpstreamOptions) (*Upstream, func(), error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(o.Address))
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "stand-in upstream")
+		return nil, nil, eris.Wrap(err, "stand-in upstream: open UDP socket")
 	}
 	l, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(o.Address))
 	if err != nil {
 		_ = conn.Close()
-		return nil, nil, eris.Wrap(err, "stand-in upstream")
+		return nil, nil, eris.Wrap(err, "stand-in upstream: open TCP socket")
 	}
 	u := &Upstream{
 		UpstreamOptions: o, conn: conn, slots: make(chan struct{}, o.Slots),
 		http:   &http.Server{Handler: o.Health, ReadHeaderTimeout: time.Second},
-		flows:  make(map[netip.AddrPort]*served),
+		flows:  make(map[netip.AddrPort]*upstreamFlow),
 		runs:   make(map[RequestID]int),
 		resets: make(map[netip.AddrPort]bool),
 		opened: make(map[netip.AddrPort]time.Time),
 	}
 	go func() { _ = u.http.Serve(l) }()
 	go u.read()
-	go u.repeat()
+	go u.retransmit()
 	return u, u.close, nil
 }
 
@@ -99,36 +101,36 @@
 	_ = u.http.Close()
 }
 
-// SetSilent makes the upstream drop all it gets, or ends that. Its health port still
-// accepts, as that of a host whose process hangs.
-func (u *Upstream) SetSilent(dark bool) {
+// SetSilent starts or stops dropping all received datagrams. The health port still accepts
+// connections meanwhile, as on a host whose process hangs.
+func (u *Upstream) SetSilent(silent bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dark = dark
+	u.silent = silent
 }
 
-// Drain makes the upstream close each flow after its next answer.
+// Drain makes the upstream close each flow with its next answer.
 func (u *Upstream) Drain() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.draining = true
 }
 
-// Alive reports whether the upstream serves.
+// Alive reports whether the upstream serves: it is neither silent nor closed.
 func (u *Upstream) Alive() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return !u.dark && !u.closed
+	return !u.silent && !u.closed
 }
 
-// HasReset reports whether the upstream itself reset the flow of a caller's end.
+// HasReset reports whether the upstream itself reset a flow of a caller's address.
 func (u *Upstream) HasReset(caller netip.AddrPort) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.resets[caller]
 }
 
-// Runs returns how often each request ran.
+// Runs returns how often each request was processed.
 func (u *Upstream) Runs() map[RequestID]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -139,7 +141,7 @@
 	return out
 }
 
-// Opened reports whether a flow of a caller's end opened here.
+// Opened reports whether a flow from a caller's address was opened at this upstream.
 func (u *Upstream) Opened(caller netip.AddrPort) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -147,10 +149,10 @@
 	return ok
 }
 
-// OpenedAfter returns how many flows opened by a first packet that came after a time.
+// OpenedAfter returns how many flows were opened after a time.
 func (u *Upstream) OpenedAfter(t time.Time) int { return u.OpenedBetween(t, time.Now()) }
 
-// OpenedBetween returns how many flows opened by a first packet that came between two times.
+// OpenedBetween returns how many flows were opened after one time and not after another.
 func (u *Upstream) OpenedBetween(from, until time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -178,15 +180,15 @@
 			continue
 		}
 		u.mu.Lock()
-		if !u.dark {
-			u.take(s)
+		if !u.silent {
+			u.handle(s)
 		}
 		u.mu.Unlock()
 	}
 }
 
-// take handles a segment. u.mu is held.
-func (u *Upstream) take(s *Segment) {
+// handle handles a received segment. u.mu is held.
+func (u *Upstream) handle(s *Segment) {
 	f := u.flows[s.From]
 	switch {
 	case s.Flags == cookie.FlagSYN:
@@ -195,8 +197,8 @@
 	case s.Flags.Has(cookie.FlagRST):
 		delete(u.flows, s.From)
 		return
-	case f == nil || !f.open && s.Ack != f.next:
-		u.refuse(s)
+	case f == nil || !f.open && s.Ack != f.nextSeq:
+		u.reject(s)
 		return
 	}
 	if !f.open {
@@ -206,42 +208,42 @@
 	f.cookie = s.Cookie
 	f.acknowledge(s.Ack)
 	if len(s.Data) > 0 {
-		u.data(f, s)
+		u.handleData(f, s)
 	}
 	if s.Flags.Has(cookie.FlagFIN) {
-		u.send(f, &Segment{Flags: cookie.FlagACK, Seq: f.next, Ack: f.expected + 1})
+		u.send(f, &Segment{Flags: cookie.FlagACK, Seq: f.nextSeq, Ack: f.expectedSeq + 1})
 		delete(u.flows, s.From)
 	}
 }
 
-func (u *Upstream) accept(s *Segment, f *served) {
-	if f == nil || f.expected != s.Seq+1 {
-		f = &served{caller: s.From, service: s.To, expected: s.Seq + 1, next: rand.Uint32()}
+func (u *Upstream) accept(s *Segment, f *upstreamFlow) {
+	if f == nil || f.expectedSeq != s.Seq+1 {
+		f = &upstreamFlow{caller: s.From, service: s.To, expectedSeq: s.Seq + 1, nextSeq: rand.Uint32()}
 		u.flows[s.From] = f
 	}
 	if f.open {
-		return // A copy that came late.
+		return // A late retransmission.
 	}
 	f.cookie = s.Cookie
-	u.send(f, &Segment{Flags: cookie.FlagSYN | cookie.FlagACK, Seq: f.next - 1, Ack: f.expected})
+	u.send(f, &Segment{Flags: cookie.FlagSYN | cookie.FlagACK, Seq: f.nextSeq - 1, Ack: f.expectedSeq})
 }
 
-func (u *Upstream) refuse(s *Segment) {
+func (u *Upstream) reject(s *Segment) {
 	u.resets[s.From] = true
 	u.write(s.From, &Segment{From: s.To, To: s.From, Flags: cookie.FlagRST, Seq: s.Ack})
 }
 
-func (u *Upstream) data(f *served, s *Segment) {
-	if s.Seq != f.expected {
-		u.send(f, &Segment{Flags: cookie.FlagACK, Seq: f.next, Ack: f.expected})
+func (u *Upstream) handleData(f *upstreamFlow, s *Segment) {
+	if s.Seq != f.expectedSeq {
+		u.send(f, &Segment{Flags: cookie.FlagACK, Seq: f.nextSeq, Ack: f.expectedSeq})
 		return
 	}
-	f.expected += uint32(len(s.Data))
+	f.expectedSeq += uint32(len(s.Data))
 	id := RequestID(binary.BigEndian.Uint64(s.Data))
-	go u.work(f, id)
+	go u.serve(f, id)
 }
 
-func (u *Upstream) work(f *served, id RequestID) {
+func (u *Upstream) serve(f *upstreamFlow, id RequestID) {
 	u.slots <- struct{}{}
 	u.mu.Lock()
 	u.runs[id]++
@@ -250,31 +252,32 @@
 	<-u.slots
 	b, err := json.Marshal(Answer{ID: id, Upstream: u.ID, Service: u.Service})
 	if err != nil {
-		panic(err) // An Answer can be encoded.
+		panic(err) // Encoding an Answer never fails.
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s := &Segment{Flags: cookie.FlagACK, Seq: f.next, Ack: f.expected, Data: b}
+	s := &Segment{Flags: cookie.FlagACK, Seq: f.nextSeq, Ack: f.expectedSeq, Data: b}
 	if u.draining {
 		s.Flags |= cookie.FlagFIN
 	}
-	f.next += uint32(len(b))
+	f.nextSeq += uint32(len(b))
 	f.unacked = append(f.unacked, s)
-	if !u.dark {
+	if !u.silent {
 		u.send(f, s)
 	}
 }
 
-func (f *served) acknowledge(ack uint32) {
+func (f *upstreamFlow) acknowledge(ack uint32) {
 	for len(f.unacked) > 0 && int32(ack-f.unacked[0].Seq) > 0 {
 		f.unacked = f.unacked[1:]
-		f.repeats = 0
+		f.retransmits = 0
 	}
 }
 
-// repeat sends again what isn't acknowledged.
-func (u *Upstream) repeat() {
-	t := time.NewTicker(repeatAfterMs * time.Millisecond)
+// retransmit periodically retransmits the oldest unacknowledged segment of each flow until the
+// upstream is closed.
+func (u *Upstream) retransmit() {
+	t := time.NewTicker(retransmitMs * time.Millisecond)
 	defer t.Stop()
 	for range t.C {
 		u.mu.Lock()
@@ -283,10 +286,10 @@
 			return
 		}
 		for _, f := range u.flows {
-			if len(f.unacked) == 0 || u.dark {
+			if len(f.unacked) == 0 || u.silent {
 				continue
 			}
-			if f.repeats++; f.repeats <= maxRepeats {
+			if f.retransmits++; f.retransmits <= maxRetransmits {
 				u.send(f, f.unacked[0])
 			}
 		}
@@ -294,13 +297,13 @@
 	}
 }
 
-func (u *Upstream) send(f *served, s *Segment) {
+func (u *Upstream) send(f *upstreamFlow, s *Segment) {
 	s.From, s.To, s.Cookie = f.service, f.caller, f.cookie
 	u.write(f.caller, s)
 }
 
 func (u *Upstream) write(to netip.AddrPort, s *Segment) {
 	b := u.Codec.Encode(s)
-	// What is lost is repeated.
+	// Lost segments are retransmitted, so errors are ignored.
 	_, _ = u.conn.WriteToUDPAddrPort(b, netip.AddrPortFrom(to.Addr(), u.CallerPort))
 }
--- a/internal/standin/ledger/ledger.go
+++ b/internal/standin/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger is what the stand-in callers and upstreams count, and the
-// report made of it. The balancers have no part in it.
+// Package ledger defines the counts of the stand-in callers and upstreams, and the report derived
+// from them. The balancers' own code isn't involved.
 package ledger
 
 import (
@@ -8,26 +8,26 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// RequestID names a request of a stand-in caller.
+// RequestID identifies a request of a stand-in caller.
 type RequestID string
 
-// Answer is the body that a stand-in upstream answers with.
+// Answer is the body of a stand-in upstream's answer.
 type Answer struct {
 	ID       RequestID
 	Service  string
 	Upstream string
-	// Seq numbers the notifications of a feed.
+	// Seq is the sequence number of a feed's notification.
 	Seq uint32
 }
 
-// Caller is what the callers saw.
+// Caller is what one process of stand-in callers saw.
 type Caller struct {
 	Requests, Answered, Refused, Unknown, TimedOut int
 	Flows, BrokenFlows                             int
 	WrongAnswers, WrongService                     int
-	// RefusedIDs are the requests that were told not to have run.
+	// RefusedIDs are the requests whose callers were told that they haven't run.
 	RefusedIDs []RequestID
-	// Broken holds the reason of each broken flow.
+	// Broken holds the reason for each broken flow.
 	Broken []string
 }
 
@@ -36,29 +36,30 @@
 	Service string
 	Name    string
 	Zone    bundle.Zone
-	// Busy is the time its slots were in use, added up.
+	// Busy is the total time during which slots were in use, summed over all slots.
 	Busy time.Duration
-	// Runs counts how often each non-idempotent request ran.
+	// Runs is how often each non-idempotent request ran.
 	Runs map[RequestID]int
-	// WrongService counts packets with another service's VNI or address.
+	// WrongService counts packets with the VNI or address of another service.
 	WrongService int
 }
 
-// Report is the outcome of a whole run.
+// Report is the result of a whole run.
 type Report struct {
 	Requests, Answered, Refused, Unknown, TimedOut int
 	Flows, BrokenFlows                             int
 	WrongAnswers, WrongService                     int
 	// DoubleRuns counts non-idempotent requests that ran more than once.
 	DoubleRuns int
-	// RanAfterRefusal counts requests that ran though they were refused as not run.
+	// RanAfterRefusal counts requests that ran although their callers were told that they
+	// haven't.
 	RanAfterRefusal int
-	// Imbalance is the largest over the mean busy time of a service's upstreams,
-	// of the service where that is worst.
+	// Imbalance is the largest busy time of an upstream divided by the mean of its service, for
+	// the service where this ratio is highest.
 	Imbalance float64
 }
 
-// Merge makes the report of all callers and upstreams.
+// Merge returns the report of all callers and upstreams.
 func Merge(callers []Caller, upstreams []Upstream) Report {
 	var r Report
 	runs := make(map[RequestID]int)
@@ -120,7 +121,7 @@
 	return worst
 }
 
-// NoViolations reports whether every promise was kept.
+// NoViolations reports whether the run violated no guarantee.
 func (r *Report) NoViolations() bool {
 	return r.BrokenFlows+r.WrongAnswers+r.WrongService+r.DoubleRuns+r.RanAfterRefusal == 0
 }
--- a/internal/standin/seeds/seeds.go
+++ b/internal/standin/seeds/seeds.go
@@ -1,17 +1,17 @@
-// Package seeds fixes what the libraries of tests draw at random, so that CI gives one
-// verdict.
+// Package seeds fixes the random seeds of property-testing libraries, so that repeated runs of
+// the tests in CI give the same result.
 package seeds
 
 import "flag"
 
-// Flags of pgregory.net/rapid with their values when none is given on the command line.
+// Flags of pgregory.net/rapid: their default values and the values that Fix sets.
 const (
 	seedUnset, checksUnset, noFailFileUnset = "0", "100", "false"
 	seed, checks                            = "7", "300"
 )
 
-// Fix makes rapid draw the same sequences in each run and write no files of failed ones.
-// Flags given on the command line hold.
+// Fix makes rapid draw the same sequences in each run and write no files for failed ones. Flags
+// given on the command line take precedence.
 func Fix() {
 	setDefault("rapid.seed", seedUnset, seed)
 	setDefault("rapid.checks", checksUnset, checks)
@@ -24,6 +24,6 @@
 		return
 	}
 	if err := f.Value.Set(value); err != nil {
-		panic(err) // The values are constants of the right kinds.
+		panic(err) // The values are constants of the right types.
 	}
 }
