--- a/internal/standin/emulator/caller.go
+++ b/internal/standin/emulator/caller.go
@@ -9,80 +9,82 @@
 	"github.com/fescueshed/fescueshed/internal/connection/cookie"
 )
 
-// class is a kind of request with its callers in each zone.
+// class is a kind of request with the callers of each zone that send it.
 type class struct {
 	*Class
-	w     *play
+	sim   *simulation
 	index int
-	// pools are the long flows of each zone's callers.
+	// pools holds the long flows of each zone's callers.
 	pools []*pool
-	// rngs draw what the callers of each zone do. They are drawn from by nothing else, so
-	// that policies are compared with the same requests.
+	// rngs holds one random generator per zone, for what its callers do. Nothing else draws from
+	// them, so that all policies are compared with the same requests.
 	rngs []*rand.Rand
 }
 
-// pool holds the idle long flows of a zone's callers, and how many there are in all.
+// pool holds the idle long flows of a zone's callers.
 type pool struct {
 	rng  *rand.Rand
 	idle []*flow
-	open int
+	// size is the number of all flows, busy ones included.
+	size int
 }
 
-// Times at which callers send copies of a first packet, and again what isn't acknowledged.
+// Times after a caller's first transmission: when it retransmits, and when it stops trying to
+// open a flow.
 const (
-	firstCopy  = 200 * time.Millisecond
-	secondCopy = 600 * time.Millisecond
-	openWithin = 1400 * time.Millisecond
+	firstRetransmit  = 200 * time.Millisecond
+	secondRetransmit = 600 * time.Millisecond
+	openTimeout      = 1400 * time.Millisecond
 )
 
-func (w *play) makeClasses() {
-	for i := range w.pattern.Classes {
-		c := &class{Class: &w.pattern.Classes[i], w: w, index: i}
-		for range w.zones {
-			stream := uint64(2 * (1 + i*len(w.zones) + len(c.rngs)))
-			c.pools = append(c.pools, &pool{rng: rand.New(rand.NewPCG(w.opts.Seed, stream))})
-			c.rngs = append(c.rngs, rand.New(rand.NewPCG(w.opts.Seed, stream+1)))
+func (sim *simulation) makeClasses() {
+	for i := range sim.pattern.Classes {
+		c := &class{Class: &sim.pattern.Classes[i], sim: sim, index: i}
+		for range sim.zones {
+			stream := uint64(2 * (1 + i*len(sim.zones) + len(c.rngs)))
+			c.pools = append(c.pools, &pool{rng: rand.New(rand.NewPCG(sim.opts.Seed, stream))})
+			c.rngs = append(c.rngs, rand.New(rand.NewPCG(sim.opts.Seed, stream+1)))
 		}
-		w.classes = append(w.classes, c)
-		for _, z := range w.zones {
-			c.next(z)
+		sim.classes = append(sim.classes, c)
+		for _, z := range sim.zones {
+			c.scheduleNext(z)
 		}
 	}
 }
 
-// next plans the next request of a zone's callers.
-func (c *class) next(z *zone) {
+// scheduleNext schedules the next request of a zone's callers.
+func (c *class) scheduleNext(z *zone) {
 	sum := 0.0
-	for _, o := range c.w.zones {
+	for _, o := range c.sim.zones {
 		sum += o.Share
 	}
-	rate := c.PerSecond * z.Share / sum * z.factor
+	rate := c.PerSecond * z.Share / sum * z.rateFactor
 	if rate <= 0 {
 		return
 	}
-	c.w.after(time.Duration(c.rngs[z.index].ExpFloat64()/rate*float64(time.Second)), func() {
-		if c.w.now > time.Duration(c.w.pattern.Length) {
+	c.sim.after(time.Duration(c.rngs[z.index].ExpFloat64()/rate*float64(time.Second)), func() {
+		if c.sim.now > time.Duration(c.sim.pattern.Length) {
 			return
 		}
-		c.ask(z)
-		c.next(z)
+		c.startRequest(z)
+		c.scheduleNext(z)
 	})
 }
 
-// ask begins a request.
-func (c *class) ask(z *zone) {
+// startRequest starts a request in a zone, or in the zone to which its callers have shifted.
+func (c *class) startRequest(z *zone) {
 	rng := c.rngs[z.index]
-	work, moves := c.work(rng), rng.Float64() < z.shiftedShare
-	if z.shifted != nil && moves {
-		z = z.shifted
+	work, moves := c.drawWork(rng), rng.Float64() < z.shiftedShare
+	if z.shiftTarget != nil && moves {
+		z = z.shiftTarget
 	}
-	r := &request{class: c, zone: z, asked: c.w.now, tries: c.Retries + 1, work: work}
-	c.w.after(time.Duration(c.Deadline), r.giveUp)
-	r.begin()
+	r := &request{class: c, zone: z, asked: c.sim.now, triesLeft: c.Retries + 1, work: work}
+	c.sim.after(time.Duration(c.Deadline), r.timeOut)
+	r.startTry()
 }
 
-// work draws how long an upstream works on a request: lognormal around its mean.
-func (c *class) work(rng *rand.Rand) time.Duration {
+// drawWork draws the processing time of a request from a lognormal distribution around the mean.
+func (c *class) drawWork(rng *rand.Rand) time.Duration {
 	mean := float64(c.Work)
 	d := math.Exp(math.Log(mean) - c.Spread*c.Spread/2 + c.Spread*rng.NormFloat64())
 	if most := float64(c.WorkAtMost); most > 0 {
@@ -91,40 +93,41 @@
 	return time.Duration(d)
 }
 
-// request is what a caller wants, over all its tries.
+// request is what a caller wants, with all its tries.
 type request struct {
 	class *class
 	zone  *zone
 	asked time.Duration
-	// tries is how many are left.
-	tries int
-	// work is how long an upstream that isn't slow works on it.
+	// triesLeft is the number of remaining tries.
+	triesLeft int
+	// work is the processing time at an upstream that isn't slow.
 	work time.Duration
 	done bool
 	try  *try
 }
 
-// begin makes a try, on an idle long flow or a new one.
-func (r *request) begin() {
-	r.tries--
+// startTry starts a try on an idle long flow or a new flow.
+func (r *request) startTry() {
+	r.triesLeft--
 	t := &try{request: r}
 	r.try = t
 	p := r.class.pools[r.zone.index]
 	if r.class.Long {
-		if f := p.take(r.zone.Flows); f != nil {
+		if f := p.takeIdle(r.zone.Flows); f != nil {
 			t.send(f)
 			return
 		}
 	}
-	p.open++
-	r.class.w.open(t)
+	p.size++
+	r.class.sim.openFlow(t)
 }
 
-// take removes the idle flow of any caller that has no request in progress. It returns nil if
-// that caller has no flow yet, or if all have requests in progress.
-func (p *pool) take(callers int) *flow {
+// takeIdle removes and returns the idle flow of a random one of the callers that have no request
+// in progress. It returns nil if that caller has no flow yet, or if all callers have requests in
+// progress.
+func (p *pool) takeIdle(callers int) *flow {
 	p.idle = slices.DeleteFunc(p.idle, func(f *flow) bool { return f.closed })
-	without := max(0, callers-p.open)
+	without := max(0, callers-p.size)
 	if len(p.idle) == 0 {
 		return nil
 	}
@@ -137,25 +140,26 @@
 	return f
 }
 
-// giveUp ends a request whose deadline has passed. Its caller drops the flow, since an answer
-// may still come on it.
-func (r *request) giveUp() {
+// timeOut ends a request at its deadline. Its caller closes the flow, because an answer may still
+// arrive on it.
+func (r *request) timeOut() {
 	if r.done {
 		return
 	}
 	r.end(outcomeFailed)
-	if t := r.try; !t.over && t.flow != nil {
-		t.over = true
+	if t := r.try; !t.ended && t.flow != nil {
+		t.ended = true
 		t.flow.close()
 	}
 }
 
-// again tries once more, if there is a try left.
-func (r *request) again(surelyNotRun bool, last outcome) {
+// retry starts another try if one is left and the request may be repeated. Otherwise it ends the
+// request with the outcome of the last try.
+func (r *request) retry(surelyNotRun bool, last outcome) {
 	switch {
 	case r.done:
-	case r.tries > 0 && (surelyNotRun || r.class.Idempotent):
-		r.begin()
+	case r.triesLeft > 0 && (surelyNotRun || r.class.Idempotent):
+		r.startTry()
 	default:
 		r.end(last)
 	}
@@ -163,51 +167,52 @@
 
 func (r *request) end(o outcome) {
 	r.done = true
-	r.class.w.result.ended(r, o)
+	r.class.sim.result.record(r, o)
 }
 
 // try is one attempt at a request.
 type try struct {
 	request *request
 	flow    *flow
-	// sent says that its data went out, arrived that an upstream has it, over that it ended.
-	sent, arrived, over bool
+	// sent says that the request was sent, arrived that an upstream received it, ended that the
+	// try is finished.
+	sent, arrived, ended bool
 }
 
-// send sends the request on an open flow, and again while no answer comes.
+// send sends the request on an open flow, and retransmits it until it is answered.
 func (t *try) send(f *flow) {
 	t.flow, f.try, t.sent = f, t, true
 	seq := f.seq
 	f.seq += requestBytes
 	packet := cookie.Packet{Flags: cookie.FlagACK, Seq: seq, Ack: f.ack, Length: requestBytes}
 	f.send(packet)
-	for _, d := range [...]time.Duration{firstCopy, secondCopy, openWithin} {
-		f.w.after(d, func() {
-			if !t.over && !t.request.done {
+	for _, d := range [...]time.Duration{firstRetransmit, secondRetransmit, openTimeout} {
+		f.sim.after(d, func() {
+			if !t.ended && !t.request.done {
 				f.send(packet)
 			}
 		})
 	}
 }
 
-// requestBytes and answerBytes only let sequence numbers move on.
+// requestBytes and answerBytes only advance the sequence numbers.
 const (
 	requestBytes = 100
 	answerBytes  = 2000
 )
 
-// answered takes in the whole answer, and acknowledges it.
+// answered handles the complete answer and acknowledges it.
 func (t *try) answered() {
-	if t.over || t.flow.closed {
+	if t.ended || t.flow.closed {
 		return
 	}
-	t.over = true
+	t.ended = true
 	f := t.flow
 	f.try = nil
 	f.ack += answerBytes
 	if t.request.class.Long {
 		f.send(cookie.Packet{Flags: cookie.FlagACK, Seq: f.seq, Ack: f.ack})
-		f.rest()
+		f.release()
 	} else {
 		f.send(cookie.Packet{Flags: cookie.FlagACK | cookie.FlagFIN, Seq: f.seq, Ack: f.ack})
 		f.close()
@@ -216,25 +221,25 @@
 	if r.done {
 		return
 	}
-	if f.w.now-r.asked <= time.Duration(r.class.Objective) {
+	if f.sim.now-r.asked <= time.Duration(r.class.Objective) {
 		r.end(outcomeInTime)
 	} else {
 		r.end(outcomeLate)
 	}
 }
 
-// refused takes in that the upstream had no room.
+// refused handles the answer that the upstream has no free capacity.
 func (t *try) refused() {
-	if t.over || t.flow.closed {
+	if t.ended || t.flow.closed {
 		return
 	}
-	t.over = true
+	t.ended = true
 	f := t.flow
 	f.try = nil
 	if t.request.class.Long {
-		f.rest()
+		f.release()
 	} else {
 		f.close()
 	}
-	t.request.again(true, outcomeRefused)
+	t.request.retry(true, outcomeRefused)
 }
--- a/internal/standin/emulator/emulator_test.go
+++ b/internal/standin/emulator/emulator_test.go
@@ -27,23 +27,24 @@
 			return p
 		}
 	}
-	t.Fatalf("there is no policy %s", name)
+	t.Fatalf("no policy %s", name)
 	return emulator.NamedPolicy{}
 }
 
-// total is the sum of several seeds.
+// total holds the results of several seeds: mean worths and sums of counts.
 type total struct {
 	worth, worst  float64
 	shed, refused int
 }
 
-// sum plays a pattern with a few seeds.
+// sum runs a pattern with four seeds.
 func sum(t *testing.T, p *emulator.Pattern, by string) total {
 	t.Helper()
 	return sumOf(t, p, by, 4)
 }
 
-// sumOfLarge is sum with fewer seeds, for patterns of many hosts: they vary less, and take longer to play.
+// sumOfLarge runs a pattern of many hosts with two seeds: its results vary less, and a run takes
+// longer.
 func sumOfLarge(t *testing.T, p *emulator.Pattern) total {
 	t.Helper()
 	return sumOf(t, p, "Present", 2)
@@ -65,7 +66,7 @@
 	return out
 }
 
-func TestPlayRepeats(t *testing.T) {
+func TestRunIsReproducible(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "mixed-day")
@@ -87,10 +88,11 @@
 	g.Expect(r.shed).To(BeZero())
 }
 
-// One zone's callers ask nearly twice as much for four seconds. Their requests wait and are
-// shed there while the zones beside it have slots free, since the load of the last seconds
-// says that there is room. A host sees at once what it waits for itself.
-func TestBurstOfOneZoneGoesToTheOthers(t *testing.T) {
+// Guards against requests that wait and are shed in a zone with a burst while the other zones
+// have free slots. One zone's callers send nearly twice as many requests for four seconds, and
+// the loads reported in the last seconds say that the zone has free capacity. A host sees its own
+// open requests immediately.
+func TestBurstSpillsOverToOtherZones(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "burst")
@@ -100,10 +102,10 @@
 	g.Expect(present.worth).To(BeNumerically(">", knowing.worth-0.0005), "knowing: %+v", knowing)
 }
 
-// All hosts lose power and come back with empty memories; nobody knows what the others place.
-// Knowledge of all queues at each moment couldn't serve much more: what is lost is lost while
-// hosts are away.
-func TestReturnOfAllCallersIsServedNearlyAsByOneThatKnowsAll(t *testing.T) {
+// Guards against a loss of worth by poor placement after all hosts lose power and return without
+// state, when no host knows what the others place. A policy with perfect knowledge of all queues
+// couldn't serve much more, since most requests are lost while the hosts are down.
+func TestReturnOfAllCallersComesCloseToPerfectKnowledge(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "return-of-all-callers")
@@ -112,10 +114,10 @@
 	g.Expect(present.worth).To(BeNumerically(">", knowing.worth-0.005), "present: %+v, knowing: %+v", present, knowing)
 }
 
-// All hosts lose power under the day's highest load. Each millisecond that their processes
-// take to start is one in which every caller waits: a start of 155 ms in place of 255 serves
-// a tenth of a second's requests in time that would else be late.
-func TestQuickStartServesTheReturnOfAllCallers(t *testing.T) {
+// Guards against a slower start of the process. All hosts lose power under the highest load of
+// the day, and every caller waits while their processes start: a start within 155 ms instead of
+// 255 ms serves the requests of a tenth of a second in time that would be late otherwise.
+func TestFasterStartRaisesWorthAfterPowerLoss(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "return-of-all-callers")
@@ -126,9 +128,10 @@
 	g.Expect(quick.worst).To(BeNumerically(">", sum(t, &slow, "Present").worst+0.015))
 }
 
-// Many hosts see few flows each and hear of the others' half a second late. If all take the
-// upstream that had the fewest, it is overloaded before they hear of it.
-func TestTwoChoicesAtManyHosts(t *testing.T) {
+// Guards against overload of single upstreams by many hosts with few flows each, which receive
+// the counts of the others half a second late. If all choose the upstream with the fewest flows,
+// they overload it before they receive its new count.
+func TestTwoChoicesAvoidOverloadWithManyHosts(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "wide")
@@ -143,9 +146,9 @@
 	g.Expect(play("LeastOfAll").Shed).To(BeNumerically(">", 100))
 }
 
-// Upstreams crash and start again within their heartbeats, under the same identifiers. What
-// is lost is what was under way and what was asked until they were found dead, not more than if
-// they had stayed away.
+// Guards against a restart that costs more than a crash. Upstreams crash and start again before
+// their registrations expire, under the same identifiers. Only requests in progress and those
+// sent before the hosts detect the crash may be lost.
 func TestRestartCostsNoMoreThanACrash(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -153,22 +156,25 @@
 	g.Expect(restart.worth).To(BeNumerically(">", crash.worth-0.002), "restart: %+v, crash: %+v", restart, crash)
 }
 
-// All upstreams of a zone fall silent at once. Each of its hosts has a flow or two at each of them and hears nobody any
-// more, as if its own link were full. Requests in progress are lost with them, and those that are sent before flows are
-// reset: half a second's at the most, a small part of one window.
-func TestZoneOfSilentUpstreamsIsLeftWithinHalfASecond(t *testing.T) {
+// Guards against slow detection when all upstreams of a zone fall silent at the same time. Each
+// host of the zone has one or two flows at each of them and receives nothing from any, as if its
+// own link were full. Requests in progress are lost, and those sent before the flows are reset:
+// at most half a second's, a small part of one window.
+func TestSilentZoneIsAvoidedWithinHalfASecond(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	r := sumOfLarge(t, read(t, "silent-zone"))
 	const lost, share, window = 0.5, 555.0 / 1557, 2.0
 	g.Expect(r.worst).To(BeNumerically(">", 1-lost*share/window), "%+v", r)
-	g.Expect(r.shed).To(BeZero(), "the other zones bear it")
+	g.Expect(r.shed).To(BeZero(), "the other zones have enough capacity")
 }
 
-// A quarter of a service's upstreams fall silent at once, in all zones, while each host hears the others. Requests in
-// progress there and those that are sent before the upstreams' flows are reset are lost or late: those of a third of a
-// second, most of which passes until callers repeat a packet. Half of them are served late, which is worth some.
-func TestSilentUpstreamsAreLeftWithinAThirdOfASecond(t *testing.T) {
+// Guards against slow detection when a quarter of a service's upstreams fall silent at the same
+// time in all zones, while each host still receives from the others. Requests in progress there,
+// and those sent before the flows are reset, are lost or late: those of a third of a second, most
+// of which passes until callers retransmit. Half of them are answered late, which still has some
+// worth.
+func TestSilentUpstreamsAreAvoidedWithinAThirdOfASecond(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	r := sumOfLarge(t, read(t, "silent-part"))
@@ -176,9 +182,10 @@
 	g.Expect(r.worst).To(BeNumerically(">", 1-silent*share*lost/window), "%+v", r)
 }
 
-// An operator empties a zone while its callers ask as much as ever. All of its new flows go elsewhere: the other zones'
-// upstreams have the slots, and must not shed for being asked all at once.
-func TestEvacuatedZoneIsBorneByTheOthers(t *testing.T) {
+// Guards against shedding during an evacuation. The callers of the evacuated zone send as many
+// requests as before, and all of its new flows go to the other zones. Their upstreams have enough
+// slots and must not shed because of the sudden load.
+func TestOtherZonesServeLoadOfEvacuatedZone(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "evacuation")
@@ -190,7 +197,7 @@
 	g.Expect(r.worst).To(BeNumerically(">", sumOfLarge(t, &calm).worst-0.002))
 }
 
-func TestPatternsAreChecked(t *testing.T) {
+func TestPatternFindings(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct{ src, finding string }{
 		"no grounds":      {`{"Name": "x", "Length": "5s", "Zones": [{"Name": "a", "Hosts": 1}]}`, "Grounds"},
@@ -209,7 +216,7 @@
 	}
 }
 
-func TestAllPatternsCanBePlayed(t *testing.T) {
+func TestAllPatternsRun(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	files, err := os.ReadDir("patterns")
@@ -225,7 +232,7 @@
 	}
 }
 
-func BenchmarkPlay(b *testing.B) {
+func BenchmarkRun(b *testing.B) {
 	p, err := emulator.ReadPattern(os.DirFS("patterns"), "mixed-day.hujson")
 	if err != nil {
 		b.Fatal(err)
@@ -241,10 +248,11 @@
 	b.ReportMetric(float64(packets)/b.Elapsed().Seconds(), "packets/s")
 }
 
-// A fifth of the upstreams is gone when all hosts lose power. In the half second of their
-// return the rest takes more than its slots. Hosts that hear of each other's flows only each
-// half second send them to the same upstreams, which shed while others have room.
-func TestReturnToFewerUpstreamsIsServedNearlyAsByOneThatKnowsAll(t *testing.T) {
+// Guards against uneven placement when all hosts lose power while a fifth of the upstreams is
+// missing. In the half second after the return, the remaining upstreams get more requests than
+// they have slots. Hosts that exchange counts only every half second would send them to the same
+// upstreams, which would shed while others have free capacity.
+func TestReturnToFewerUpstreamsComesCloseToPerfectKnowledge(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p := read(t, "return-to-fewer-upstreams")
--- a/internal/standin/emulator/events.go
+++ b/internal/standin/emulator/events.go
@@ -7,115 +7,116 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// planEvent plans a disturbance.
-func (w *play) planEvent(e *Event) {
+// scheduleEvent schedules a disturbance.
+func (sim *simulation) scheduleEvent(e *Event) {
 	do := map[EventKind]func(*Event){
-		EventHostsDown: w.hostsDown, EventBurst: w.burst, EventShift: w.shift,
-		EventCrash: w.crash, EventReplace: w.replace, EventCut: w.cutZone,
-		EventEvacuate: w.evacuate,
+		EventHostsDown: sim.hostsDown, EventBurst: sim.burst, EventShift: sim.shift,
+		EventCrash: sim.crash, EventReplace: sim.replace, EventCut: sim.isolateZone,
+		EventEvacuate: sim.evacuate,
 	}[e.Kind]
-	w.after(time.Duration(e.At), func() { do(e) })
+	sim.after(time.Duration(e.At), func() { do(e) })
 }
 
-// zonesOf returns the zone of an event, or all.
-func (w *play) zonesOf(name bundle.Zone) []*zone {
+// eventZones returns the zone of an event, or all zones if it has none.
+func (sim *simulation) eventZones(name bundle.Zone) []*zone {
 	if name == "" {
-		return w.zones
+		return sim.zones
 	}
-	return []*zone{w.zoneOf(name)}
+	return []*zone{sim.zoneByName(name)}
 }
 
-func (w *play) zoneOf(name bundle.Zone) *zone {
-	for _, z := range w.zones {
+func (sim *simulation) zoneByName(name bundle.Zone) *zone {
+	for _, z := range sim.zones {
 		if z.Name == name {
 			return z
 		}
 	}
-	return w.zones[0]
+	return sim.zones[0]
 }
 
-func (w *play) hostsDown(e *Event) {
-	for _, z := range w.zonesOf(e.Zone) {
+func (sim *simulation) hostsDown(e *Event) {
+	for _, z := range sim.eventZones(e.Zone) {
 		n := int(math.Ceil(e.Share * float64(len(z.hosts))))
-		for _, i := range w.rng.Perm(len(z.hosts))[:n] {
-			z.hosts[i].fail(time.Duration(e.For) + w.jitter(time.Duration(e.Jitter)))
+		for _, i := range sim.rng.Perm(len(z.hosts))[:n] {
+			z.hosts[i].powerOff(time.Duration(e.For) + sim.jitter(time.Duration(e.Jitter)))
 		}
 	}
 }
 
-func (w *play) burst(e *Event) {
-	for _, z := range w.zonesOf(e.Zone) {
-		z.factor *= e.Factor
-		w.after(time.Duration(e.For), func() { z.factor /= e.Factor })
+func (sim *simulation) burst(e *Event) {
+	for _, z := range sim.eventZones(e.Zone) {
+		z.rateFactor *= e.Factor
+		sim.after(time.Duration(e.For), func() { z.rateFactor /= e.Factor })
 	}
 }
 
-func (w *play) shift(e *Event) {
-	z := w.zoneOf(e.Zone)
-	z.shifted, z.shiftedShare = w.zoneOf(e.To), e.Share
-	w.after(time.Duration(e.For), func() { z.shifted = nil })
+func (sim *simulation) shift(e *Event) {
+	z := sim.zoneByName(e.Zone)
+	z.shiftTarget, z.shiftedShare = sim.zoneByName(e.To), e.Share
+	sim.after(time.Duration(e.For), func() { z.shiftTarget = nil })
 }
 
-// serversOf returns a share of the live upstreams of a service, in any order.
-func (w *play) serversOf(e *Event) []*server {
+// pickServers returns a random share of the running upstreams that match an event's zone and
+// service.
+func (sim *simulation) pickServers(e *Event) []*server {
 	var fits []*server
-	for _, s := range w.servers {
+	for _, s := range sim.servers {
 		inZone := e.Zone == "" || s.zone.Name == e.Zone
 		inService := e.Service == "" || s.service.Name == e.Service
-		if inZone && inService && !s.dark && !s.draining {
+		if inZone && inService && !s.silent && !s.draining {
 			fits = append(fits, s)
 		}
 	}
-	w.rng.Shuffle(len(fits), func(i, j int) { fits[i], fits[j] = fits[j], fits[i] })
+	sim.rng.Shuffle(len(fits), func(i, j int) { fits[i], fits[j] = fits[j], fits[i] })
 	return fits[:int(math.Round(e.Share*float64(len(fits))))]
 }
 
-func (w *play) crash(e *Event) {
-	for _, s := range w.serversOf(e) {
+func (sim *simulation) crash(e *Event) {
+	for _, s := range sim.pickServers(e) {
 		s.crash()
 		if e.For > 0 {
-			w.after(time.Duration(e.For), func() { s.start(time.Duration(s.service.Warmup)) })
+			sim.after(time.Duration(e.For), func() { s.start(time.Duration(s.service.Warmup)) })
 		}
 	}
 }
 
-func (w *play) replace(e *Event) {
-	for i, s := range w.serversOf(e) {
-		w.after(time.Duration(i)*time.Duration(e.Every), func() {
-			w.addServer(s.service, s.zone, time.Duration(s.service.Warmup))
+func (sim *simulation) replace(e *Event) {
+	for i, s := range sim.pickServers(e) {
+		sim.after(time.Duration(i)*time.Duration(e.Every), func() {
+			sim.addServer(s.service, s.zone, time.Duration(s.service.Warmup))
 			s.drain()
 		})
 	}
 }
 
-func (w *play) cutZone(e *Event) {
-	z := w.zoneOf(e.Zone)
-	z.cut = true
-	w.after(time.Duration(e.For), func() { z.cut = false })
+func (sim *simulation) isolateZone(e *Event) {
+	z := sim.zoneByName(e.Zone)
+	z.isolated = true
+	sim.after(time.Duration(e.For), func() { z.isolated = false })
 }
 
-func (w *play) evacuate(e *Event) {
-	z := w.zoneOf(e.Zone)
+func (sim *simulation) evacuate(e *Event) {
+	z := sim.zoneByName(e.Zone)
 	z.evacuated = true
-	w.tellEvacuated()
+	sim.announceEvacuatedZones()
 	if e.For == 0 {
 		return
 	}
-	w.after(time.Duration(e.For), func() {
+	sim.after(time.Duration(e.For), func() {
 		z.evacuated = false
-		for _, s := range w.servers {
-			if s.zone == z && !s.dark {
-				s.cool()
+		for _, s := range sim.servers {
+			if s.zone == z && !s.silent {
+				s.restartWarmup()
 			}
 		}
-		w.tellEvacuated()
+		sim.announceEvacuatedZones()
 	})
 }
 
-// evacuated returns the evacuated zones.
-func (w *play) evacuated() []bundle.Zone {
+// evacuatedZones returns the zones that are evacuated now.
+func (sim *simulation) evacuatedZones() []bundle.Zone {
 	var out []bundle.Zone
-	for _, z := range w.zones {
+	for _, z := range sim.zones {
 		if z.evacuated {
 			out = append(out, z.Name)
 		}
@@ -123,15 +124,15 @@
 	return out
 }
 
-// tellEvacuated lets all hosts know of the evacuated zones, each after a delay of its own.
-func (w *play) tellEvacuated() {
-	list := w.evacuated()
-	for _, z := range w.zones {
+// announceEvacuatedZones sends the evacuated zones to all hosts, each after a delay of its own.
+func (sim *simulation) announceEvacuatedZones() {
+	list := sim.evacuatedZones()
+	for _, z := range sim.zones {
 		for _, h := range z.hosts {
-			d := time.Duration(w.pattern.Delays.List)
-			w.after(d+w.jitter(d), func() {
+			d := time.Duration(sim.pattern.Delays.List)
+			sim.after(d+sim.jitter(d), func() {
 				if h.ready {
-					h.engine.SetEvacuatedZones(list, w.wall())
+					h.engine.SetEvacuatedZones(list, sim.wallTime())
 				}
 			})
 		}
--- a/internal/standin/emulator/fleet.go
+++ b/internal/standin/emulator/fleet.go
@@ -11,204 +11,213 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// Fleet is a start of many hosts, without callers' flows. The product's own peer.Membership,
-// peer.Start, peer.Reading and retry pauses decide; the store counts its calls.
+// Fleet describes the start of many hosts, without callers' flows. The decisions come from the
+// product's own peer.Membership, peer.Startup, peer.ReaderElection and peer.RetryPause. The store
+// only counts its calls.
 type Fleet struct {
-	// Zones is how many zones there are, Large and Small how many hosts each of them has.
+	// Zones is the number of zones. Large and Small are the numbers of large and small hosts in
+	// each.
 	Zones, Large, Small int
-	// Upstreams is how many the list has.
+	// Upstreams is the number of registered upstreams.
 	Upstreams int
-	// FirstStart says that the system starts for the first time: no callers wait. Otherwise a caller's
-	// packet comes to each host after CallerAfter on average.
+	// FirstStart says that the system starts for the first time and no callers wait. Otherwise a
+	// caller's packet arrives at each host after CallerDelay on average.
 	FirstStart  bool
 	CallerDelay time.Duration
-	// SeedsDown:  don't start; the seeds are the first Seeds of them and then others.
+	// SeedsDown makes all seed addresses those of hosts that don't run.
 	SeedsDown bool
-	// StoreFrom and StoreUntil are when the store refuses all calls.
+	// StoreFrom and StoreUntil are the start and the end of a period in which the store refuses
+	// all calls.
 	StoreFrom, StoreUntil time.Duration
-	// StoreRestored says that it is restored from a snapshot then: who watches must list, and who hears of it must be told
-	// the whole list.
+	// StoreRestored says that the store is restored from a snapshot at StoreUntil: hosts that
+	// watch must list again, and hosts that receive an advertisement of it must fetch the whole
+	// list.
 	StoreRestored bool
 	// RefuseCatalogRequests makes every member refuse requests for its catalog.
 	RefuseCatalogRequests bool
-	// Length is how long the play takes.
+	// Length is the duration of the simulation.
 	Length time.Duration
 }
 
-// FleetResult is what a start cost.
+// FleetResult is the result of a start.
 type FleetResult struct {
+	// Calls is the number of calls to the store, Refused the number of those that it refused.
 	Calls, Refused int
-	// ReadyTimes are the times from each host's start until it could place flows, in rising order.
-	// Hosts that never could aren't among them.
+	// ReadyTimes holds the time from each host's start until it could place flows, in ascending
+	// order. Hosts that never could are left out.
 	ReadyTimes []time.Duration
-	// Relisted is how many hosts listed again after the store was restored from a snapshot, CatchUpTimes the times from then until
-	// each host held its list, in rising order.
+	// Relisted is the number of hosts that listed again after the store was restored from a
+	// snapshot. CatchUpTimes holds the time from then until each host had received the restored
+	// list, in ascending order.
 	Relisted     int
 	CatchUpTimes []time.Duration
-	// StoreReaders is how many hosts follow the store at the end.
+	// StoreReaders is the number of hosts that read the store at the end.
 	StoreReaders int
 }
 
-// Times of the model, from logs and benchmarks of the daemon. Work is that of a whole core, and
-// takes a host's share of one longer.
+// Parameters of the model. Work is the processor time on a whole core. A host with a share of a
+// core, in thousandths, takes longer.
 const (
-	largeShare  = 800
-	smallShare  = 61
-	startSpread = 300 * time.Millisecond
-	fleetWay    = 500 * time.Microsecond
-	storeAnswer = 4 * time.Millisecond
-	messageWork = 100 * time.Microsecond
-	callWork    = 1200 * time.Microsecond
-	readWork    = 10 * time.Microsecond
-	toldWork    = 2 * time.Microsecond
-	fleetTick   = 100 * time.Millisecond
-	fleetPoll   = 20 * time.Millisecond
-	fleetSeeds  = 3
-	watchWait   = 800 * time.Millisecond
+	largeShare       = 800
+	smallShare       = 61
+	startSpread      = 300 * time.Millisecond
+	fleetDelay       = 500 * time.Microsecond
+	storeLatency     = 4 * time.Millisecond
+	messageWork      = 100 * time.Microsecond
+	callWork         = 1200 * time.Microsecond
+	storeEntryWork   = 10 * time.Microsecond
+	catalogEntryWork = 2 * time.Microsecond
+	fleetTick        = 100 * time.Millisecond
+	fleetPollPeriod  = 20 * time.Millisecond
+	fleetSeeds       = 3
+	watchWait        = 800 * time.Millisecond
 )
 
 // fleetHost is one daemon of a Fleet.
 type fleetHost struct {
-	w       *fleetPlay
-	share   int
-	started time.Duration
-	on      bool
-	ready   bool
-	callers bool
-	group   *peer.Membership
-	start   peer.Startup
-	reading peer.ReaderElection
-	self    peer.Member
-	// view and epoch are the last view of group.
-	view  *peer.View
-	epoch uint64
-	// busyUntil is when the work before is done.
-	busyUntil time.Duration
-	failures  int
-	calling   bool
-	asks      int
-	// knownAt is as of when the store's content is known.
-	knownAt time.Duration
-	// caughtUp says that the list of the restored store is known, catching that it is being told.
-	caughtUp, catching bool
+	sim            *fleetSimulation
+	share          int
+	started        time.Duration
+	running        bool
+	ready          bool
+	callersWaiting bool
+	membership     *peer.Membership
+	startup        peer.Startup
+	election       peer.ReaderElection
+	self           peer.Member
+	// view is the last view of membership, viewEpoch its epoch.
+	view      *peer.View
+	viewEpoch uint64
+	// busyUntil is when all earlier work is done.
+	busyUntil       time.Duration
+	failures        int
+	calling         bool
+	catalogRequests int
+	// contentAsOf is the time as of which the host holds the store's content.
+	contentAsOf time.Duration
+	// caughtUp says that the host holds the list of the restored store, catchingUp that it is
+	// fetching it.
+	caughtUp, catchingUp bool
 }
 
-type fleetPlay struct {
+// fleetSimulation runs one Fleet with one seed.
+type fleetSimulation struct {
 	*clock
-	f     *Fleet
-	rng   *rand.Rand
-	hosts []*fleetHost
-	at    map[netip.AddrPort]*fleetHost
-	seeds []netip.AddrPort
-	out   FleetResult
+	fleet     *Fleet
+	rng       *rand.Rand
+	hosts     []*fleetHost
+	byAddress map[netip.AddrPort]*fleetHost
+	seeds     []netip.AddrPort
+	result    FleetResult
 }
 
-// RunFleet plays a start. Equal arguments give equal results.
+// RunFleet simulates a start. Equal arguments give equal results.
 func RunFleet(f *Fleet, seed uint64) *FleetResult {
-	w := &fleetPlay{
-		clock: newClock(), f: f, rng: rand.New(rand.NewPCG(seed, 1)), at: make(map[netip.AddrPort]*fleetHost),
+	sim := &fleetSimulation{
+		clock: newClock(), fleet: f, rng: rand.New(rand.NewPCG(seed, 1)), byAddress: make(map[netip.AddrPort]*fleetHost),
 	}
 	for z := range f.Zones {
 		for i := range f.Large + f.Small {
-			w.addHost(z, i)
+			sim.addHost(z, i)
 		}
 	}
 	for i := range fleetSeeds {
-		at := w.hosts[(i*len(w.hosts))/fleetSeeds+f.Large].self.Control
+		at := sim.hosts[(i*len(sim.hosts))/fleetSeeds+f.Large].self.Control
 		if f.SeedsDown {
 			at = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 99, 0, byte(i + 1)}), 1)
 		}
-		w.seeds = append(w.seeds, at)
+		sim.seeds = append(sim.seeds, at)
 	}
-	for _, h := range w.hosts {
-		w.after(time.Duration(w.rng.Int64N(int64(startSpread))), h.begin)
+	for _, h := range sim.hosts {
+		sim.after(time.Duration(sim.rng.Int64N(int64(startSpread))), h.start)
 	}
-	w.run(f.Length)
-	for _, h := range w.hosts {
-		if h.ready && h.reads() {
-			w.out.StoreReaders++
+	sim.run(f.Length)
+	for _, h := range sim.hosts {
+		if h.ready && h.readsStore() {
+			sim.result.StoreReaders++
 		}
 	}
-	slices.Sort(w.out.ReadyTimes)
-	slices.Sort(w.out.CatchUpTimes)
-	return &w.out
+	slices.Sort(sim.result.ReadyTimes)
+	slices.Sort(sim.result.CatchUpTimes)
+	return &sim.result
 }
 
-func (w *fleetPlay) addHost(zone, i int) {
-	h := &fleetHost{w: w, share: smallShare}
-	if i < w.f.Large {
+func (sim *fleetSimulation) addHost(zone, i int) {
+	h := &fleetHost{sim: sim, share: smallShare}
+	if i < sim.fleet.Large {
 		h.share = largeShare
 	}
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(zone), byte(i >> 8), byte(i)}), 8166)
 	name := fmt.Sprintf("host-%d-%d", zone, i)
 	h.self = peer.Member{
 		ID: peer.IDOf(name), Name: name, Zone: bundle.Zone(fmt.Sprintf("zone-%d", zone)), Data: at, Control: at, RPC: at,
-		Incarnation: 1, Boot: w.rng.Uint64(), Size: uint32(h.share),
+		Incarnation: 1, Boot: sim.rng.Uint64(), Size: uint32(h.share),
 	}
-	w.hosts = append(w.hosts, h)
-	w.at[at] = h
+	sim.hosts = append(sim.hosts, h)
+	sim.byAddress[at] = h
 }
 
-// work does something after the host has spent processor time on it.
-func (h *fleetHost) work(d time.Duration, do func()) {
-	h.busyUntil = max(h.busyUntil, h.w.now) + d*1000/time.Duration(h.share)
-	h.w.after(h.busyUntil-h.w.now, do)
+// afterWork calls do after the host has spent processor time d, in addition to its earlier work.
+func (h *fleetHost) afterWork(d time.Duration, do func()) {
+	h.busyUntil = max(h.busyUntil, h.sim.now) + d*1000/time.Duration(h.share)
+	h.sim.after(h.busyUntil-h.sim.now, do)
 }
 
-// begin starts the process.
-func (h *fleetHost) begin() {
-	h.on, h.started = true, h.w.now
-	h.group = peer.NewMembership(peer.Config{
+// start starts the process.
+func (h *fleetHost) start() {
+	h.running, h.started = true, h.sim.now
+	h.membership = peer.NewMembership(peer.Config{
 		ProbePeriod: 2 * peer.DefaultProbePeriod, Updates: peer.MaxUpdates,
-	}, h.self, rand.New(rand.NewPCG(h.w.rng.Uint64(), 1)))
-	h.start = peer.Startup{StartedAt: h.w.wall(), FirstStart: h.w.f.FirstStart}
-	if !h.w.f.FirstStart {
-		h.w.after(h.w.jitter(2*h.w.f.CallerDelay), func() { h.callers = true })
+	}, h.self, rand.New(rand.NewPCG(h.sim.rng.Uint64(), 1)))
+	h.startup = peer.Startup{StartedAt: h.sim.wallTime(), FirstStart: h.sim.fleet.FirstStart}
+	if !h.sim.fleet.FirstStart {
+		h.sim.after(h.sim.jitter(2*h.sim.fleet.CallerDelay), func() { h.callersWaiting = true })
 	}
-	h.send(h.group.Seed(h.w.seeds))
-	h.w.every(fleetTick, fleetTick, func() { h.send(h.group.Tick(h.w.wall())) })
-	h.seed(3 * fleetTick)
-	h.w.after(meetAt, h.meet)
-	h.w.after(fleetPoll, h.pollSoon)
-	h.w.every(fleetTick, fleetTick, h.poll)
-	h.w.every(sweepEach, sweepEach, h.tell)
-	h.w.after(fleetPoll, h.ask)
+	h.send(h.membership.Seed(h.sim.seeds))
+	h.sim.every(fleetTick, fleetTick, func() { h.send(h.membership.Tick(h.sim.wallTime())) })
+	h.pingSeeds(3 * fleetTick)
+	h.sim.after(contactsAfter, h.pingContacts)
+	h.sim.after(fleetPollPeriod, h.pollUntilReady)
+	h.sim.every(fleetTick, fleetTick, h.poll)
+	h.sim.every(advertisePeriod, advertisePeriod, h.advertise)
+	h.sim.after(fleetPollPeriod, h.requestCatalog)
 }
 
-// seed asks the seeds again after a pause, and then after twice as long.
-func (h *fleetHost) seed(pause time.Duration) {
-	h.w.after(pause, func() {
-		if !h.ready || len(h.look().Members) == 1 {
-			h.send(h.group.Seed(h.w.seeds))
+// pingSeeds pings the seeds after a pause if the host isn't ready or knows no other member. The
+// pause then doubles, up to 24 ticks.
+func (h *fleetHost) pingSeeds(pause time.Duration) {
+	h.sim.after(pause, func() {
+		if !h.ready || len(h.currentView().Members) == 1 {
+			h.send(h.membership.Seed(h.sim.seeds))
 		}
-		h.seed(min(2*pause, 24*fleetTick))
+		h.pingSeeds(min(2*pause, 24*fleetTick))
 	})
 }
 
-// meetAt is when a host that knows no other one asks the store for contacts.
-const meetAt = 700 * time.Millisecond
+// contactsAfter is when a host that knows no other member reads the contacts from the store.
+const contactsAfter = 700 * time.Millisecond
 
-// meet greets the contacts that the store names: the first of each zone.
-func (h *fleetHost) meet() {
-	if !h.ready || len(h.look().Members) > 1 || h.w.f.FirstStart {
+// pingContacts pings the contacts that the store holds: the first host of each zone.
+func (h *fleetHost) pingContacts() {
+	if !h.ready || len(h.currentView().Members) > 1 || h.sim.fleet.FirstStart {
 		return
 	}
-	h.w.out.Calls++
-	h.work(callWork, func() {
-		for z := range h.w.f.Zones {
-			first := h.w.hosts[z*(h.w.f.Large+h.w.f.Small)]
-			h.send(h.group.PingAddress(first.self.Control))
+	h.sim.result.Calls++
+	h.afterWork(callWork, func() {
+		for z := range h.sim.fleet.Zones {
+			first := h.sim.hosts[z*(h.sim.fleet.Large+h.sim.fleet.Small)]
+			h.send(h.membership.PingAddress(first.self.Control))
 		}
 	})
 }
 
-// sweepEach is how often the one that reads tells its zone.
-const sweepEach = 500 * time.Millisecond
+// advertisePeriod is how often the store reader advertises its content.
+const advertisePeriod = 500 * time.Millisecond
 
-// look returns what the host knows of the members.
-func (h *fleetHost) look() *peer.View {
-	if e := h.group.Epoch(); h.view == nil || e != h.epoch {
-		h.view, h.epoch = h.group.View(), e
+// currentView returns the host's view of the members.
+func (h *fleetHost) currentView() *peer.View {
+	if e := h.membership.Epoch(); h.view == nil || e != h.viewEpoch {
+		h.view, h.viewEpoch = h.membership.View(), e
 	}
 	return h.view
 }
@@ -217,203 +226,208 @@
 func (h *fleetHost) send(list []peer.Envelope) {
 	for i := range list {
 		e := list[i]
-		h.work(messageWork, func() {
-			h.w.after(fleetWay, func() {
-				if to := h.w.at[e.To]; to != nil && to.on {
-					to.work(messageWork, func() { to.send(to.group.Receive(h.w.wall(), h.self.Control, &e.Message)) })
+		h.afterWork(messageWork, func() {
+			h.sim.after(fleetDelay, func() {
+				if to := h.sim.byAddress[e.To]; to != nil && to.running {
+					to.afterWork(messageWork, func() { to.send(to.membership.Receive(h.sim.wallTime(), h.self.Control, &e.Message)) })
 				}
 			})
 		})
 	}
 }
 
-// reads reports whether the host reads the store now, as package carrier asks.
-func (h *fleetHost) reads() bool {
-	v := h.look()
+// readsStore reports whether the host reads the store now, by the same rules as package carrier.
+func (h *fleetHost) readsStore() bool {
+	v := h.currentView()
 	if !h.ready {
-		return h.start.ShouldRead(peer.StartupState{
-			CallersWaiting: h.callers, ServingMemberSeen: h.group.ServingMemberSeen(), Rank: v.ReaderRank(), Others: len(v.Members) - 1,
-		}, h.w.wall())
+		return h.startup.ShouldRead(peer.StartupState{
+			CallersWaiting: h.callersWaiting, ServingMemberSeen: h.membership.ServingMemberSeen(), Rank: v.ReaderRank(),
+			Others: len(v.Members) - 1,
+		}, h.sim.wallTime())
 	}
-	return h.reading.ShouldRead(h.start.ReaderRank(v.ReaderRank(), h.w.wall()), h.w.wall())
+	return h.election.ShouldRead(h.startup.ReaderRank(v.ReaderRank(), h.sim.wallTime()), h.sim.wallTime())
 }
 
-// pollSoon polls often until the host is ready.
-func (h *fleetHost) pollSoon() {
+// pollUntilReady polls at short intervals until the host is ready.
+func (h *fleetHost) pollUntilReady() {
 	if h.ready {
 		return
 	}
 	h.poll()
-	h.w.after(fleetPoll, h.pollSoon)
+	h.sim.after(fleetPollPeriod, h.pollUntilReady)
 }
 
-// poll calls the store if the host reads: for both kinds when it starts, and then by watches.
+// poll calls the store if the host is a store reader: it lists both kinds while it starts, and
+// watches both after that.
 func (h *fleetHost) poll() {
-	if h.calling || !h.reads() {
+	if h.calling || !h.readsStore() {
 		return
 	}
 	h.calling = true
-	calls, content, wait := 2, time.Duration(h.w.f.Upstreams)*readWork, time.Duration(0)
+	calls, content, wait := 2, time.Duration(h.sim.fleet.Upstreams)*storeEntryWork, time.Duration(0)
 	if h.ready {
 		content, wait = 0, watchWait
 	}
-	h.w.out.Calls += calls
-	h.work(time.Duration(calls)*callWork, func() { h.w.after(wait+storeAnswer, func() { h.answered(content) }) })
+	h.sim.result.Calls += calls
+	h.afterWork(time.Duration(calls)*callWork, func() { h.sim.after(wait+storeLatency, func() { h.handleAnswer(content) }) })
 }
 
-// answered takes in what the store answers.
-func (h *fleetHost) answered(content time.Duration) {
-	if now := h.w.now; now >= h.w.f.StoreFrom && now < h.w.f.StoreUntil {
-		h.w.out.Refused += 2
-		pause := peer.RetryPause(h.look().ReaderRank(), h.failures, h.w.rng.Float64())
+// handleAnswer handles the answer of the store, which takes the work content to process.
+func (h *fleetHost) handleAnswer(content time.Duration) {
+	if now := h.sim.now; now >= h.sim.fleet.StoreFrom && now < h.sim.fleet.StoreUntil {
+		h.sim.result.Refused += 2
+		pause := peer.RetryPause(h.currentView().ReaderRank(), h.failures, h.sim.rng.Float64())
 		h.failures++
-		for _, o := range h.w.hosts {
-			if o.on && h.ready {
-				o.reading.ReportStoreLost(h.w.wall())
+		for _, o := range h.sim.hosts {
+			if o.running && h.ready {
+				o.election.ReportStoreLost(h.sim.wallTime())
 			}
 		}
-		h.w.after(pause, func() { h.calling = false })
+		h.sim.after(pause, func() { h.calling = false })
 		return
 	}
-	if h.behind() {
+	if h.needsRelist() {
 		h.relist()
 		return
 	}
-	asOf := h.w.now
-	h.work(content, func() {
+	asOf := h.sim.now
+	h.afterWork(content, func() {
 		h.failures, h.calling = 0, false
-		h.know(asOf)
+		h.recordContent(asOf)
 	})
 }
 
-// behind reports whether the store was restored from a snapshot whose list the host doesn't know.
-func (h *fleetHost) behind() bool {
-	return h.w.f.StoreRestored && h.ready && !h.caughtUp && h.w.now >= h.w.f.StoreUntil
+// needsRelist reports whether the store was restored from a snapshot and the host doesn't hold
+// the restored list.
+func (h *fleetHost) needsRelist() bool {
+	return h.sim.fleet.StoreRestored && h.ready && !h.caughtUp && h.sim.now >= h.sim.fleet.StoreUntil
 }
 
-// relist lists both kinds after their watches were refused.
+// relist lists both kinds again after the store refused to resume their watches.
 func (h *fleetHost) relist() {
-	h.w.out.Calls += 2
-	h.w.out.Relisted++
-	h.work(2*callWork, func() {
-		h.w.after(storeAnswer, func() {
-			asOf := h.w.now
-			h.work(time.Duration(h.w.f.Upstreams)*readWork, func() {
+	h.sim.result.Calls += 2
+	h.sim.result.Relisted++
+	h.afterWork(2*callWork, func() {
+		h.sim.after(storeLatency, func() {
+			asOf := h.sim.now
+			h.afterWork(time.Duration(h.sim.fleet.Upstreams)*storeEntryWork, func() {
 				h.failures, h.calling = 0, false
-				h.catchUp()
-				h.know(asOf)
-				h.tell()
+				h.markCaughtUp()
+				h.recordContent(asOf)
+				h.advertise()
 			})
 		})
 	})
 }
 
-// catchUp notes that the host knows the list of the restored store.
-func (h *fleetHost) catchUp() {
+// markCaughtUp records that the host holds the list of the restored store.
+func (h *fleetHost) markCaughtUp() {
 	if !h.caughtUp {
 		h.caughtUp = true
-		h.w.out.CatchUpTimes = append(h.w.out.CatchUpTimes, h.w.now-h.w.f.StoreUntil)
+		h.sim.result.CatchUpTimes = append(h.sim.result.CatchUpTimes, h.sim.now-h.sim.fleet.StoreUntil)
 	}
 }
 
-// beTold asks the sender of news for the whole list, which they don't lead to.
-func (h *fleetHost) beTold(by *fleetHost) {
-	if h.catching {
+// fetchRestoredList fetches the whole list from a host that advertised it, because the changes in
+// the advertisement don't connect to the list that this host holds.
+func (h *fleetHost) fetchRestoredList(source *fleetHost) {
+	if h.catchingUp {
 		return
 	}
-	h.catching = true
-	told := time.Duration(h.w.f.Upstreams) * toldWork
-	by.work(callWork+told, func() { h.work(callWork+told, h.catchUp) })
+	h.catchingUp = true
+	spent := time.Duration(h.sim.fleet.Upstreams) * catalogEntryWork
+	source.afterWork(callWork+spent, func() { h.afterWork(callWork+spent, h.markCaughtUp) })
 }
 
-// know notes that the store's content is known as of a time.
-func (h *fleetHost) know(asOf time.Duration) {
-	h.knownAt = max(h.knownAt, asOf)
-	h.reading.Received(epoch.Add(asOf), false)
+// recordContent records that the host holds the store's content as of a time.
+func (h *fleetHost) recordContent(asOf time.Duration) {
+	h.contentAsOf = max(h.contentAsOf, asOf)
+	h.election.Received(wallStart.Add(asOf), false)
 	if !h.ready {
 		h.ready = true
-		h.group.SetBundle(1)
-		h.w.out.ReadyTimes = append(h.w.out.ReadyTimes, h.w.now-h.started)
+		h.membership.SetBundle(1)
+		h.sim.result.ReadyTimes = append(h.sim.result.ReadyTimes, h.sim.now-h.started)
 		for _, after := range [...]time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
-			h.w.after(after/2+h.w.jitter(after), h.join)
+			h.sim.after(after/2+h.sim.jitter(after), h.fetchMembers)
 		}
 	}
 }
 
-// ask asks a member for all, until the host is ready.
-func (h *fleetHost) ask() {
+// requestCatalog requests the catalog from members in turn until the host is ready.
+func (h *fleetHost) requestCatalog() {
 	if h.ready {
 		return
 	}
-	h.w.after(h.start.RequestDelay(h.w.rng.Float64()), h.ask)
-	tellers := h.look().CatalogSources()
-	if len(tellers) == 0 {
+	h.sim.after(h.startup.RequestDelay(h.sim.rng.Float64()), h.requestCatalog)
+	sources := h.currentView().CatalogSources()
+	if len(sources) == 0 {
 		return
 	}
-	to := h.w.at[tellers[h.asks%len(tellers)].RPC]
-	h.asks++
-	h.send(h.group.PingAddress(to.self.Control))
-	h.work(messageWork, func() {
-		h.w.after(2*fleetWay, func() {
-			if !to.ready || h.w.f.RefuseCatalogRequests {
+	to := h.sim.byAddress[sources[h.catalogRequests%len(sources)].RPC]
+	h.catalogRequests++
+	h.send(h.membership.PingAddress(to.self.Control))
+	h.afterWork(messageWork, func() {
+		h.sim.after(2*fleetDelay, func() {
+			if !to.ready || h.sim.fleet.RefuseCatalogRequests {
 				return
 			}
-			told := time.Duration(h.w.f.Upstreams) * toldWork
-			to.work(callWork+told, func() { h.work(callWork+told, func() { h.told(to) }) })
+			spent := time.Duration(h.sim.fleet.Upstreams) * catalogEntryWork
+			to.afterWork(callWork+spent, func() { h.afterWork(callWork+spent, func() { h.applyCatalog(to) }) })
 		})
 	})
 }
 
-// told takes in what a member told.
-func (h *fleetHost) told(by *fleetHost) {
-	h.group.Merge(h.w.wall(), append(by.group.BootstrapMembers(h.self.Zone, h.self.ID), by.self))
-	h.know(by.knownAt)
+// applyCatalog applies the catalog and the members that another host sent.
+func (h *fleetHost) applyCatalog(source *fleetHost) {
+	h.membership.Merge(h.sim.wallTime(), append(source.membership.BootstrapMembers(h.self.Zone, h.self.ID), source.self))
+	h.recordContent(source.contentAsOf)
 }
 
-// join asks a member for all others that it knows.
-func (h *fleetHost) join() {
-	v := h.look()
-	to := h.w.at[v.Members[h.w.rng.IntN(len(v.Members))].RPC]
+// fetchMembers requests all members that a random other member knows.
+func (h *fleetHost) fetchMembers() {
+	v := h.currentView()
+	to := h.sim.byAddress[v.Members[h.sim.rng.IntN(len(v.Members))].RPC]
 	if to == h || !to.ready {
 		return
 	}
-	known := to.group.Members()
-	spent := callWork + time.Duration(len(known))*toldWork
-	to.work(spent, func() {
-		h.work(spent, func() {
-			h.group.Merge(h.w.wall(), known)
-			h.know(to.knownAt)
+	known := to.membership.Members()
+	spent := callWork + time.Duration(len(known))*catalogEntryWork
+	to.afterWork(spent, func() {
+		h.afterWork(spent, func() {
+			h.membership.Merge(h.sim.wallTime(), known)
+			h.recordContent(to.contentAsOf)
 		})
 	})
 }
 
-// tell lets the members that the reader knows hear its word.
-func (h *fleetHost) tell() {
-	if !h.ready || !h.reads() || h.w.now-h.knownAt > time.Second {
+// advertise sends an advertisement of recent content to the members if the host is the store
+// reader.
+func (h *fleetHost) advertise() {
+	if !h.ready || !h.readsStore() || h.sim.now-h.contentAsOf > time.Second {
 		return
 	}
-	v := h.look()
+	v := h.currentView()
 	for i := range v.Members {
-		o := h.w.at[v.Members[i].RPC]
-		if o == h || !o.on || !o.ready {
+		o := h.sim.byAddress[v.Members[i].RPC]
+		if o == h || !o.running || !o.ready {
 			continue
 		}
-		asOf, before := epoch.Add(h.knownAt), o.look().RanksBefore(h.self.ID)
-		if o.behind() && h.caughtUp {
-			h.w.after(fleetWay, func() { o.beTold(h) })
+		asOf, ranksBefore := wallStart.Add(h.contentAsOf), o.currentView().RanksBefore(h.self.ID)
+		if o.needsRelist() && h.caughtUp {
+			h.sim.after(fleetDelay, func() { o.fetchRestoredList(h) })
 		}
-		if h.behind() {
+		if h.needsRelist() {
 			continue
 		}
-		o.knownAt = max(o.knownAt, h.knownAt)
-		h.w.after(fleetWay, func() { o.reading.Received(asOf, before) })
+		o.contentAsOf = max(o.contentAsOf, h.contentAsOf)
+		h.sim.after(fleetDelay, func() { o.election.Received(asOf, ranksBefore) })
 	}
 }
 
-// jitter returns a random part of a time.
-func (w *fleetPlay) jitter(d time.Duration) time.Duration {
+// jitter returns a random duration of at least 0 and less than d, or 0 if d isn't positive.
+func (sim *fleetSimulation) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	return time.Duration(w.rng.Int64N(int64(d)))
+	return time.Duration(sim.rng.Int64N(int64(d)))
 }
--- a/internal/standin/emulator/fleet_test.go
+++ b/internal/standin/emulator/fleet_test.go
@@ -9,15 +9,16 @@
 	"github.com/fescueshed/fescueshed/internal/standin/emulator"
 )
 
-// fleet195 is the users' largest system: 195 hosts in five zones, three large ones in each.
+// fleet195 returns a fleet of the size of the users' largest system: 195 hosts in five zones,
+// with three large ones in each.
 func fleet195() emulator.Fleet {
 	return emulator.Fleet{Zones: 5, Large: 3, Small: 36, Upstreams: 293, Length: 8 * time.Second}
 }
 
-// A system starts for the first time and its callers come 10 s later. When each host read the
-// store for itself and followed it until it had found the others, 195 hosts made some 1,700
-// calls. Here all are ready within the time that the users give, and few ask.
-func TestFirstStartOfAFleetCostsTheStoreLittle(t *testing.T) {
+// Guards against a first start in which every host reads the store. If each of 195 hosts read it
+// until it had found the others, they would make about 1,700 calls. All must be ready within the
+// users' bound, before callers arrive 10 s later.
+func TestFirstStartMakesFewStoreCalls(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
 	f.FirstStart = true
@@ -27,9 +28,10 @@
 	g.Expect(r.Calls).To(BeNumerically("<", 195), "less than one for each host")
 }
 
-// All power is lost and callers ask each host as soon as it is back. None may wait for another:
-// each reads the store once, two calls, and then relies on those that follow it.
-func TestReturnOfAFleetDelaysNobody(t *testing.T) {
+// Guards against hosts that wait for each other after a power loss, when callers send to each
+// host as soon as it is back. Each host reads the store once, with two calls, and then relies on
+// the store readers.
+func TestHostsAreReadyQuicklyAfterPowerLoss(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
 	f.CallerDelay, f.Length = 50*time.Millisecond, 4*time.Second
@@ -39,10 +41,10 @@
 	g.Expect(r.Calls).To(BeNumerically("<", 4*195))
 }
 
-// A loss of power hits a fleet of 500 hosts. What one host asks of the store doesn't grow
-// with the number of the others, but for one call: the seeds take seconds to answer so many, and
-// without the contacts in the store each host would follow it as one that is alone.
-func TestCallsOfAReturnDoNotGrowFasterThanTheFleet(t *testing.T) {
+// Guards against store calls per host that grow with the fleet, by more than one call, after a
+// power loss. The seeds of a fleet of 500 hosts need seconds to answer all of them. Without the
+// contacts in the store, each host would read it as if it were alone.
+func TestStoreCallsPerHostDoNotGrowWithFleet(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
 	f.CallerDelay, f.Length = 50*time.Millisecond, 3*time.Second
@@ -53,8 +55,9 @@
 	g.Expect(float64(large.Calls) / 500).To(BeNumerically("<=", 1.1*float64(small.Calls)/195+1))
 }
 
-// The seeds of the settings' time are all gone, at the first start and after a loss of power.
-// Nobody finds anybody through them, so each host reads for itself; none may wait for ever.
+// Guards against hosts that never become ready because all configured seeds are down, at the
+// first start and after a power loss. No host can find another through them, so each must read
+// the store itself.
 func TestFleetStartsWithoutSeeds(t *testing.T) {
 	for name, first := range map[string]bool{"first start": true, "loss of power": false} {
 		t.Run(name, func(t *testing.T) {
@@ -68,9 +71,10 @@
 	}
 }
 
-// Members live but tell nothing, as when all are busy telling others or the port is closed.
-// Each host waits for its turn by rank and then reads.
-func TestFleetStartsThoughNobodyTells(t *testing.T) {
+// Guards against hosts that never become ready because the members refuse to send their catalogs,
+// as when all are busy or the port is closed. Each host waits according to its rank and then
+// reads the store.
+func TestFleetStartsWithoutCatalogsFromMembers(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
 	f.FirstStart, f.RefuseCatalogRequests = true, true
@@ -79,10 +83,10 @@
 	g.Expect(r.ReadyTimes[194]).To(BeNumerically("<", 7*time.Second))
 }
 
-// The store refuses calls for 6.5 s while the fleet runs. Every host that hears nothing fresh
-// turned to it, and went on asking: 1,500 calls more. The first in rank say that they have no
-// answer.
-func TestFewAskAStoreThatRefuses(t *testing.T) {
+// Guards against a store that refuses calls for 6.5 s and is called by every host that receives
+// no recent advertisement, again and again: 1,500 additional calls. The hosts that rank first
+// report that the store doesn't answer them.
+func TestFewHostsCallRefusingStore(t *testing.T) {
 	g := NewWithT(t)
 	f := fleet195()
 	f.FirstStart, f.Length = true, 14*time.Second
@@ -94,7 +98,8 @@
 	g.Expect(r.StoreReaders).To(BeNumerically("<=", 5))
 }
 
-// Guards against a restore of the store that all hosts answer by listing it at once.
+// Guards against all hosts listing the store at the same time after it was restored from a
+// snapshot.
 func TestFewHostsListARestoredStore(t *testing.T) {
 	for name, f := range map[string]emulator.Fleet{
 		"8 hosts":   {Zones: 2, Large: 1, Small: 3, Upstreams: 50},
--- a/internal/standin/emulator/flow.go
+++ b/internal/standin/emulator/flow.go
@@ -7,63 +7,65 @@
 	"github.com/fescueshed/fescueshed/internal/connection/cookie"
 )
 
-// flow is a caller's end of a flow.
+// flow is the caller's side of a flow.
 type flow struct {
-	w        *play
+	sim      *simulation
 	zone     *zone
 	class    *class
 	key      cookie.Key
 	cookie   cookie.Cookie
 	seq, ack uint32
-	// server holds the flow, in one incarnation.
-	server *server
-	life   int
-	opened bool
-	closed bool
-	// try is the request in progress.
+	// server is the upstream of the flow, incarnation that of the upstream when it accepted the
+	// flow.
+	server      *server
+	incarnation int
+	opened      bool
+	closed      bool
+	// try is the try in progress, nil if the flow is idle.
 	try *try
 }
 
-// open opens a flow for a try.
-func (w *play) open(t *try) {
-	w.result.flows++
-	n := w.result.flows
-	f := &flow{w: w, zone: t.request.zone, class: t.request.class, try: t, seq: 1, ack: 1}
+// openFlow starts to open a flow for a try.
+func (sim *simulation) openFlow(t *try) {
+	sim.result.flowCount++
+	n := sim.result.flowCount
+	f := &flow{sim: sim, zone: t.request.zone, class: t.request.class, try: t, seq: 1, ack: 1}
 	t.flow = f
 	at := routeAddress(f.class.index)
 	f.key = cookie.Key{ServiceIP: at.Addr().As4(), ServicePort: at.Port(), CallerPort: uint16(n)}
 	binary.BigEndian.PutUint32(f.key.CallerIP[:], 100<<24|64<<16|n>>16)
-	w.byKey[f.key] = f
-	for i, d := range [...]time.Duration{0, firstCopy, secondCopy} {
-		w.after(d, func() {
+	sim.openFlows[f.key] = f
+	for i, d := range [...]time.Duration{0, firstRetransmit, secondRetransmit} {
+		sim.after(d, func() {
 			if !f.opened && !f.closed {
 				f.send(cookie.Packet{Flags: cookie.FlagSYN, Copy: uint32(i)})
 			}
 		})
 	}
-	w.after(openWithin, func() {
+	sim.after(openTimeout, func() {
 		if !f.opened {
 			f.reset()
 		}
 	})
 }
 
-// flow returns the flow of a key, nil if it is over.
-func (w *play) flow(k cookie.Key) *flow { return w.byKey[k] }
+// flowByKey returns the flow with a key, or nil if it is closed.
+func (sim *simulation) flowByKey(k cookie.Key) *flow { return sim.openFlows[k] }
 
-// send sends a packet by the host that the zone's router picks now.
+// send sends a packet through the host that the zone's router picks now.
 func (f *flow) send(p cookie.Packet) {
 	p.Key, p.Cookie = f.key, f.cookie
 	h := f.zone.router.pick(f.key)
-	f.w.after(time.Duration(f.w.pattern.Delays.Caller), func() { h.receive(f, p) })
+	f.sim.after(time.Duration(f.sim.pattern.Delays.Caller), func() { h.receive(f, p) })
 }
 
-// accepted takes in an upstream's answer to a first packet. The flow opens at the first one.
-func (f *flow) accepted(s *server, life int) {
-	if f.opened || f.closed || s.dark || s.life != life {
+// accepted handles an upstream's answer to a first packet. The first answer opens the flow, later
+// ones are ignored.
+func (f *flow) accepted(s *server, incarnation int) {
+	if f.opened || f.closed || s.silent || s.incarnation != incarnation {
 		return
 	}
-	f.opened, f.server, f.life = true, s, life
+	f.opened, f.server, f.incarnation = true, s, incarnation
 	f.cookie = cookie.Of(s.id)
 	s.flows[f] = true
 	if f.try != nil && !f.try.request.done {
@@ -71,13 +73,14 @@
 		return
 	}
 	f.send(cookie.Packet{Flags: cookie.FlagACK, Seq: f.seq, Ack: f.ack})
-	f.rest()
+	f.release()
 }
 
-// rest keeps a flow open for the next request, or closes it if there are enough.
-func (f *flow) rest() {
+// release keeps a flow open for the next request. It closes the flow if its class opens one flow
+// per request, if the pool has enough flows, or if the upstream drains.
+func (f *flow) release() {
 	p := f.class.pools[f.zone.index]
-	if !f.class.Long || p.open > f.zone.Flows || f.server != nil && f.server.draining {
+	if !f.class.Long || p.size > f.zone.Flows || f.server != nil && f.server.draining {
 		f.send(cookie.Packet{Flags: cookie.FlagACK | cookie.FlagFIN, Seq: f.seq, Ack: f.ack})
 		f.close()
 		return
@@ -85,21 +88,21 @@
 	p.idle = append(p.idle, f)
 }
 
-// close ends the flow.
+// close closes the flow.
 func (f *flow) close() {
 	if f.closed {
 		return
 	}
 	f.closed = true
-	delete(f.w.byKey, f.key)
-	f.class.pools[f.zone.index].open--
+	delete(f.sim.openFlows, f.key)
+	f.class.pools[f.zone.index].size--
 	if f.server != nil {
 		delete(f.server.flows, f)
 	}
 }
 
-// reset ends the flow by the word of a balancer or its upstream. What was asked on it may
-// have run, unless the flow hadn't opened.
+// reset closes the flow after a reset from a balancer or its upstream. A request that was sent on
+// it may have run, unless the flow wasn't open yet.
 func (f *flow) reset() {
 	if f.closed {
 		return
@@ -107,11 +110,11 @@
 	t := f.try
 	opened := f.opened
 	f.close()
-	if t == nil || t.over {
+	if t == nil || t.ended {
 		return
 	}
-	t.over = true
+	t.ended = true
 	if !t.request.done {
-		t.request.again(!opened, outcomeFailed)
+		t.request.retry(!opened, outcomeFailed)
 	}
 }
--- a/internal/standin/emulator/host.go
+++ b/internal/standin/emulator/host.go
@@ -13,261 +13,267 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// host is a balancer: the product's decisions, with a queue of packets before them.
+// host emulates a balancer: a queue of packets in front of the product's engine.
 type host struct {
-	w       *play
+	sim     *simulation
 	zone    *zone
 	id      peer.ID
 	engine  *cookie.Engine
 	catalog *registry.Catalog
-	// listens says that the process has its sockets open, ready that it places flows.
-	listens, ready bool
-	// life tells one start from the next, so that what was planned for the former doesn't
-	// happen to this one.
-	life int
-	// booted is when the process became ready.
-	booted time.Duration
-	// busyUntil is when the packets before have been decided.
+	// listening says that the process has opened its sockets, ready that it places flows.
+	listening, ready bool
+	// incarnation is the number of power losses so far, so that what was scheduled before one
+	// isn't executed after it.
+	incarnation int
+	// readySince is when the process became ready.
+	readySince time.Duration
+	// busyUntil is when all packets received so far are processed.
 	busyUntil time.Duration
-	// waiting are packets that came while the process started.
-	waiting []arrival
+	// waiting holds the packets that arrived after the sockets were open and before the process
+	// was ready.
+	waiting []queuedPacket
 }
 
-// arrival is a packet that waits.
-type arrival struct {
+// queuedPacket is a packet that waits for the process to become ready.
+type queuedPacket struct {
 	at time.Duration
 	do func()
 }
 
 // Periods and limits of a daemon, as in package carrier.
 const (
-	loadsPeriod = 500 * time.Millisecond
-	// joinWait is how long members take to know each other after a start.
-	joinWait = 150 * time.Millisecond
-	// longAgo is when the hosts started that are there from the beginning.
-	longAgo     = time.Hour
-	awakePeriod = 50 * time.Millisecond
-	// freshStart is how long first packets may wait for a process that starts.
-	freshStart = 200 * time.Millisecond
-	// probeTimeout bounds one attempt to connect, probeTook is how long one takes.
+	reportPeriod = 500 * time.Millisecond
+	// discoveryTime is how long members need to discover each other after a start.
+	discoveryTime = 150 * time.Millisecond
+	// initialUptime is the uptime of the hosts that run from the beginning.
+	initialUptime = time.Hour
+	probeTick     = 50 * time.Millisecond
+	// maxStartupWait is how long packets may wait for a starting process. Older ones are dropped.
+	maxStartupWait = 200 * time.Millisecond
+	// probeTimeout limits one attempt to connect, probeDuration is how long a successful one
+	// takes.
 	probeTimeout = 250 * time.Millisecond
-	// unacceptedAfter is when one that isn't accepted counts beside others.
-	unacceptedAfter = probeTimeout / 4
-	probeTook       = time.Millisecond
-	flowLifetime    = time.Minute
+	// probePendingAfter is when an attempt that isn't accepted yet counts together with the
+	// attempts at other upstreams.
+	probePendingAfter = probeTimeout / 4
+	probeDuration     = time.Millisecond
+	flowLifetime      = time.Minute
 )
 
-func newHost(w *play, z *zone) *host {
-	return &host{w: w, zone: z, id: peer.ID(1 + z.index*maxHosts + len(z.hosts))}
+func newHost(sim *simulation, z *zone) *host {
+	return &host{sim: sim, zone: z, id: peer.ID(1 + z.index*maxHosts + len(z.hosts))}
 }
 
-// begin starts the host with all that the list has, as at the beginning of a play.
-func (h *host) begin() {
-	h.listens = true
+// start starts the host with all registrations, as at the beginning of a simulation.
+func (h *host) start() {
+	h.listening = true
 	h.boot()
-	h.booted = -longAgo
-	h.w.every(h.w.jitter(awakePeriod), awakePeriod, func() {
+	h.readySince = -initialUptime
+	h.sim.every(h.sim.jitter(probeTick), probeTick, func() {
 		if h.ready {
-			h.probe()
+			h.startProbes()
 		}
 	})
-	h.w.every(h.w.jitter(loadsPeriod), loadsPeriod, func() {
+	h.sim.every(h.sim.jitter(reportPeriod), reportPeriod, func() {
 		if h.ready {
-			h.engine.Expire(h.w.wall())
-			h.engine.ConfirmRegistrations(h.w.wall())
+			h.engine.Expire(h.sim.wallTime())
+			h.engine.ConfirmRegistrations(h.sim.wallTime())
 		}
 	})
 }
 
-// boot makes the process ready, with an empty memory.
+// boot makes the process ready, without any state of an earlier incarnation.
 func (h *host) boot() {
 	h.engine = cookie.NewEngine(cookie.Options{
-		Zone: h.zone.Name, Policy: h.w.opts.Policy.New(h.zone.Name, h.w), FlowLifetime: flowLifetime,
+		Zone: h.zone.Name, Policy: h.sim.opts.Policy.New(h.zone.Name, h.sim), FlowLifetime: flowLifetime,
 	})
 	h.catalog = registry.NewCatalog()
-	now := h.w.wall()
-	h.engine.SetRouting(h.w.routing, now)
-	h.catalog.Replace(h.w.listed(), max(1, h.w.revision), now)
+	now := h.sim.wallTime()
+	h.engine.SetRouting(h.sim.routing, now)
+	h.catalog.Replace(h.sim.registrations(), max(1, h.sim.revision), now)
 	h.engine.Update(h.catalog.TakeChanges(), now)
-	h.engine.SetEvacuatedZones(h.w.evacuated(), now)
+	h.engine.SetEvacuatedZones(h.sim.evacuatedZones(), now)
 	h.engine.ConfirmRegistrations(now)
-	h.ready, h.booted, h.busyUntil = true, h.w.now, h.w.now
+	h.ready, h.readySince, h.busyUntil = true, h.sim.now, h.sim.now
 	waiting := h.waiting
 	h.waiting = nil
 	for _, a := range waiting {
-		if h.w.now-a.at <= freshStart {
+		if h.sim.now-a.at <= maxStartupWait {
 			a.do()
 		}
 	}
 }
 
-// fail takes the host's power. It starts again after a time.
-func (h *host) fail(down time.Duration) {
-	h.listens, h.ready, h.waiting = false, false, nil
-	h.life++
-	life := h.life
+// powerOff cuts the power of the host, which starts again after the time down.
+func (h *host) powerOff(down time.Duration) {
+	h.listening, h.ready, h.waiting = false, false, nil
+	h.incarnation++
+	incarnation := h.incarnation
 	step := func(d time.Duration, do func()) {
-		h.w.after(d, func() {
-			if h.life == life {
+		h.sim.after(d, func() {
+			if h.incarnation == incarnation {
 				do()
 			}
 		})
 	}
-	step(down+time.Duration(h.w.pattern.Hosts.Start), func() {
-		h.listens = true
-		step(time.Duration(h.w.pattern.Hosts.Load), h.boot)
+	step(down+time.Duration(h.sim.pattern.Hosts.Start), func() {
+		h.listening = true
+		step(time.Duration(h.sim.pattern.Hosts.Load), h.boot)
 	})
 }
 
-// receive takes a caller's packet.
+// receive queues a packet of a caller, or drops it if the process has no open sockets.
 func (h *host) receive(f *flow, p cookie.Packet) {
 	decide := func() { h.decide(f, &p) }
 	switch {
-	case !h.listens:
+	case !h.listening:
 	case !h.ready:
-		h.waiting = append(h.waiting, arrival{at: h.w.now, do: decide})
+		h.waiting = append(h.waiting, queuedPacket{at: h.sim.now, do: decide})
 	default:
-		life := h.life
-		h.busyUntil = max(h.busyUntil, h.w.now) + time.Duration(h.w.pattern.Hosts.Packet)
-		h.w.after(h.busyUntil-h.w.now, func() {
-			if h.life == life {
+		incarnation := h.incarnation
+		h.busyUntil = max(h.busyUntil, h.sim.now) + time.Duration(h.sim.pattern.Hosts.Packet)
+		h.sim.after(h.busyUntil-h.sim.now, func() {
+			if h.incarnation == incarnation {
 				decide()
 			}
 		})
 	}
 }
 
-// decide does what the engine says of a packet.
+// decide passes a packet to the engine and executes its decision.
 func (h *host) decide(f *flow, p *cookie.Packet) {
-	h.w.result.Packets++
-	v := h.engine.Decide(p, h.w.wall())
+	h.sim.result.Packets++
+	v := h.engine.Decide(p, h.sim.wallTime())
 	switch v.Action {
 	case cookie.ActionReset:
-		h.reset(f)
+		h.resetFlow(f)
 	case cookie.ActionForward:
-		s := h.w.server(v.Upstream.Route.ID)
-		if s == nil || !reaches(h.zone, s.zone) {
+		s := h.sim.server(v.Upstream.Route.ID)
+		if s == nil || !reachable(h.zone, s.zone) {
 			return
 		}
 		first := *p
-		h.w.after(h.w.way(h.zone, s.zone), func() { s.receive(f, &first) })
+		h.sim.after(h.sim.networkDelay(h.zone, s.zone), func() { s.receive(f, &first) })
 	case cookie.ActionDrop:
 	}
 }
 
-// reset tells the caller of a flow that it is over.
-func (h *host) reset(f *flow) {
-	h.w.after(time.Duration(h.w.pattern.Delays.Caller), f.reset)
+// resetFlow sends a reset to the caller of a flow.
+func (h *host) resetFlow(f *flow) {
+	h.sim.after(time.Duration(h.sim.pattern.Delays.Caller), f.reset)
 }
 
-// resets tells the callers of flows that ended without a packet. Engines return them in no
-// particular order, which must not decide what happens next.
-func (h *host) resets(list []cookie.Reset) {
+// resetFlows sends resets to the callers of flows that ended without a packet of theirs. It sorts
+// the list, because engines return it in random order and results must be reproducible.
+func (h *host) resetFlows(list []cookie.Reset) {
 	slices.SortFunc(list, func(a, b cookie.Reset) int {
 		return cmp.Or(bytes.Compare(a.Key.CallerIP[:], b.Key.CallerIP[:]), cmp.Compare(a.Key.CallerPort, b.Key.CallerPort))
 	})
 	for i := range list {
-		if f := h.w.flow(list[i].Key); f != nil {
-			h.reset(f)
+		if f := h.sim.flowByKey(list[i].Key); f != nil {
+			h.resetFlow(f)
 		}
 	}
 }
 
-// learn takes in a changed entry.
-func (h *host) learn(ch registry.Change, asOf objects.Position) {
+// applyChange applies a changed registration.
+func (h *host) applyChange(ch registry.Change, asOf objects.Position) {
 	if !h.ready {
-		return // It reads the whole list when it starts.
+		return // It reads all registrations when it is ready.
 	}
-	now := h.w.wall()
+	now := h.sim.wallTime()
 	if h.catalog.Apply([]registry.Change{ch}, asOf, now) {
-		h.resets(h.engine.Update(h.catalog.TakeChanges(), now))
+		h.resetFlows(h.engine.Update(h.catalog.TakeChanges(), now))
 	}
 }
 
-// probe looks at the upstreams that are doubted.
-func (h *host) probe() {
-	now := h.w.wall()
+// startProbes expires registrations and starts the probes that are due.
+func (h *host) startProbes() {
+	now := h.sim.wallTime()
 	if h.catalog.Expire(now) {
-		h.resets(h.engine.Update(h.catalog.TakeChanges(), now))
+		h.resetFlows(h.engine.Update(h.catalog.TakeChanges(), now))
 	}
 	due := h.engine.DueProbes(now)
 	slices.SortFunc(due, func(a, b cookie.Probe) int { return cmp.Compare(a.Upstream.ID, b.Upstream.ID) })
 	for _, pr := range due {
-		h.w.result.Probes++
-		h.ask(pr, now)
+		h.sim.result.Probes++
+		h.runProbe(pr, now)
 	}
 }
 
-func (h *host) ask(pr cookie.Probe, sent time.Time) {
+// runProbe simulates one probe and reports its result to the engine.
+func (h *host) runProbe(pr cookie.Probe, sent time.Time) {
 	id := pr.Upstream.ID
 	if pr.Check {
-		accepted := h.accepted(pr.Upstream)
-		h.later(probeTook, func() {
-			h.engine.CheckDone(accepted, h.w.wall())
-			h.probe()
+		accepted := h.canConnect(pr.Upstream)
+		h.afterIfUp(probeDuration, func() {
+			h.engine.CheckDone(accepted, h.sim.wallTime())
+			h.startProbes()
 		})
 		return
 	}
-	found, took := cookie.ProbeAlive, probeTook
-	if !h.accepted(pr.Upstream) {
-		found, took = cookie.ProbeUnsure, probeTimeout
-		if pr.Reference != nil && h.accepted(pr.Reference) {
-			found = cookie.ProbeTimeout
-			h.later(unacceptedAfter, func() { h.unaccepted(id, sent) })
+	result, duration := cookie.ProbeAlive, probeDuration
+	if !h.canConnect(pr.Upstream) {
+		result, duration = cookie.ProbeUnsure, probeTimeout
+		if pr.Reference != nil && h.canConnect(pr.Reference) {
+			result = cookie.ProbeTimeout
+			h.afterIfUp(probePendingAfter, func() { h.handleProbePending(id, sent) })
 		}
 	}
-	h.later(took, func() {
+	h.afterIfUp(duration, func() {
 		before := h.engine.Health(id)
-		h.resets(h.engine.ProbeDone(id, found, sent, h.w.wall()))
+		h.resetFlows(h.engine.ProbeDone(id, result, sent, h.sim.wallTime()))
 		if before != cookie.HealthDead && h.engine.Health(id) == cookie.HealthDead {
-			h.tellFound([]bundle.UpstreamID{id})
+			h.announceDead([]bundle.UpstreamID{id})
 		}
 	})
 }
 
-// accepted reports whether an upstream accepts a connection of this host now.
-func (h *host) accepted(u *bundle.UpstreamRoute) bool {
-	s := h.w.server(u.ID)
-	return s != nil && !s.dark && reaches(h.zone, s.zone)
+// canConnect reports whether an upstream accepts a connection from this host now.
+func (h *host) canConnect(u *bundle.UpstreamRoute) bool {
+	s := h.sim.server(u.ID)
+	return s != nil && !s.silent && reachable(h.zone, s.zone)
 }
 
-// unaccepted tells that a probe isn't accepted yet.
-func (h *host) unaccepted(id bundle.UpstreamID, sent time.Time) {
-	found, resets := h.engine.ProbePending(id, sent, h.w.wall())
-	h.resets(resets)
-	h.probe()
-	if len(found) > 0 {
-		slices.Sort(found)
-		h.tellFound(found[:min(len(found), peer.MaxDead)])
+// handleProbePending reports to the engine that a probe isn't accepted yet, and announces the
+// upstreams that the engine takes for dead because of it.
+func (h *host) handleProbePending(id bundle.UpstreamID, sent time.Time) {
+	dead, resets := h.engine.ProbePending(id, sent, h.sim.wallTime())
+	h.resetFlows(resets)
+	h.startProbes()
+	if len(dead) > 0 {
+		slices.Sort(dead)
+		h.announceDead(dead[:min(len(dead), peer.MaxDead)])
 	}
 }
 
-// later does something after a time, unless the process has ended by then.
-func (h *host) later(d time.Duration, do func()) {
-	life := h.life
-	h.w.after(d, func() {
-		if h.life == life && h.ready {
+// afterIfUp calls do after a time, unless the host has lost power by then.
+func (h *host) afterIfUp(d time.Duration, do func()) {
+	incarnation := h.incarnation
+	h.sim.after(d, func() {
+		if h.incarnation == incarnation && h.ready {
 			do()
 		}
 	})
 }
 
-// tellFound tells the zone of upstreams that were found dead.
-func (h *host) tellFound(ids []bundle.UpstreamID) {
+// announceDead reports dead upstreams to the other hosts of the zone.
+func (h *host) announceDead(ids []bundle.UpstreamID) {
 	for _, o := range h.zone.hosts {
 		if o != h && o.ready {
-			h.w.after(h.w.way(h.zone, h.zone), func() {
+			h.sim.after(h.sim.networkDelay(h.zone, h.zone), func() {
 				for _, id := range ids {
-					o.engine.ReportedDead(id, h.w.wall())
+					o.engine.ReportedDead(id, h.sim.wallTime())
 				}
 			})
 		}
 	}
 }
 
-// exchange sums up what the hosts of a zone count and tells it to them, with the loads of
-// the other zones that it hears of.
-func (w *play) exchange(z *zone, eager bool) {
+// exchangeReports sends the sum of the reports of a zone's hosts to each of them, together with
+// the loads of the other zones that are reachable. startup says that the call is one of the
+// additional ones with peer.StartupReportPeriod, which only takes effect shortly after a start.
+func (sim *simulation) exchangeReports(z *zone, startup bool) {
 	var reports []*peer.Report
 	var first *host
 	for _, h := range z.hosts {
@@ -279,27 +285,27 @@
 		}
 		reports = append(reports, h.engine.Report(h.id))
 	}
-	if first == nil || eager && !peer.UsesStartupReportPeriod(w.now-first.booted) {
+	if first == nil || startup && !peer.UsesStartupReportPeriod(sim.now-first.readySince) {
 		return
 	}
 	sum := peer.SumReports(first.id, reports)
-	for _, o := range w.zones {
-		if o != z && reaches(z, o) {
-			sum.Zones = append(sum.Zones, o.loads()...)
+	for _, o := range sim.zones {
+		if o != z && reachable(z, o) {
+			sum.Zones = append(sum.Zones, o.ownLoads()...)
 		}
 	}
 	for _, h := range z.hosts {
 		if h.joined() {
-			h.engine.ApplyZoneReport(sum, w.wall())
+			h.engine.ApplyZoneReport(sum, sim.wallTime())
 		}
 	}
 }
 
-// joined reports whether a host is ready and known to the others.
-func (h *host) joined() bool { return h.ready && h.w.now-h.booted >= joinWait }
+// joined reports whether a host is ready and the other hosts have discovered it.
+func (h *host) joined() bool { return h.ready && h.sim.now-h.readySince >= discoveryTime }
 
-// loads returns what a zone tells others of its load.
-func (z *zone) loads() []peer.ZoneLoad {
+// ownLoads returns the loads that a zone reports to other zones.
+func (z *zone) ownLoads() []peer.ZoneLoad {
 	for _, h := range z.hosts {
 		if h.ready {
 			return h.engine.OwnZoneLoads()
--- a/internal/standin/emulator/pattern.go
+++ b/internal/standin/emulator/pattern.go
@@ -15,9 +15,9 @@
 // Pattern is a load with its disturbances, read from a file of JSON with comments.
 type Pattern struct {
 	Name string
-	// Grounds says where the figures come from.
+	// Grounds states where the numbers come from.
 	Grounds string
-	// Length is how long requests are asked.
+	// Length is the time during which callers start requests.
 	Length   bundle.Duration
 	Zones    []Zone
 	Hosts    Hosts
@@ -30,41 +30,44 @@
 // Zone is an availability zone with its hosts and callers.
 type Zone struct {
 	Name bundle.Zone
-	// Hosts is how many balancers it has.
+	// Hosts is the number of balancers in the zone.
 	Hosts int
-	// Share is its part of all requests, relative to the other zones' parts.
+	// Share is the zone's share of all requests, relative to the shares of the other zones.
 	Share float64
-	// Flows is how many long flows its callers hold at most.
+	// Flows is the maximum number of long flows that the callers of the zone hold.
 	Flows int
 }
 
-// Hosts says how balancers work.
+// Hosts describes the speed of balancers.
 type Hosts struct {
-	// Packet is the processor time of one packet, as long as it takes on the host's share.
+	// Packet is the time that a host needs to process one packet, with the share of a core that
+	// the host has.
 	Packet bundle.Duration
-	// Start is how long a process takes until its sockets are open, Load how long then until
-	// it places flows. Packets wait in the socket meanwhile.
+	// Start is the time from the start of a process until its sockets are open, Load the time
+	// from then until it places flows. Packets that arrive during Load wait in the socket.
 	Start, Load bundle.Duration
 }
 
-// Delays are times on the way.
+// Delays holds delays of the network and of the store.
 type Delays struct {
-	// Caller, Zone and Cross are one way, between a caller and a host, within a zone and
+	// Caller, Zone and Cross are one-way delays: between a caller and a host, within a zone and
 	// between zones.
 	Caller, Zone, Cross bundle.Duration
-	// List is how long a change of the list takes to each host, at most twice as long.
+	// List is the minimum delay after which a host receives a changed registration. The maximum
+	// is twice as long.
 	List bundle.Duration
 }
 
 // Service is a service with its upstreams.
 type Service struct {
 	Name string
-	// Upstreams is how many each zone has, in the order of Zones.
+	// Upstreams is the number of upstreams in each zone, in the order of Pattern.Zones.
 	Upstreams []int
-	// Slots is how many requests an upstream works on at once, Queue how many more wait
-	// there; it sheds the rest.
+	// Slots is the number of requests that an upstream processes concurrently, Queue the number
+	// that may wait in addition. It sheds the rest.
 	Slots, Queue int
-	// Warmup is how long an upstream is slow after its start, WarmupFactor how much.
+	// Warmup is how long an upstream is slow after its start, WarmupFactor by which factor its
+	// processing time is longer then.
 	Warmup       bundle.Duration
 	WarmupFactor float64
 }
@@ -72,23 +75,24 @@
 // Class is a kind of request.
 type Class struct {
 	Name, Service string
-	// PerSecond is how many all callers ask.
+	// PerSecond is the rate of requests of all callers together.
 	PerSecond float64
-	// Work is the mean time of work, Spread the deviation of its logarithm, WorkAtMost its
-	// bound.
+	// Work is the mean processing time, Spread the standard deviation of its logarithm,
+	// WorkAtMost its upper bound.
 	Work       bundle.Duration
 	Spread     float64
 	WorkAtMost bundle.Duration
-	// Objective is the time within which an answer is worth Worth; later it is worth Late.
+	// Objective is the time within which an answer is worth Worth. A later answer is worth Late.
 	Objective   bundle.Duration
 	Deadline    bundle.Duration
 	Worth, Late float64
-	// Retries is how often a caller tries again.
+	// Retries is how often a caller retries a request.
 	Retries int
-	// Idempotent requests are tried again after any failure, others only if they surely
-	// haven't run.
+	// Idempotent says that a request is retried after any failure. Other requests are retried
+	// only if they certainly haven't run.
 	Idempotent bool
-	// Long requests share flows that stay open; others open one each.
+	// Long says that requests share flows which stay open. Otherwise each request opens a flow of
+	// its own.
 	Long bool
 }
 
@@ -97,23 +101,25 @@
 
 // The kinds of disturbance.
 const (
-	// EventHostsDown: Share of the hosts lose power For a time. They start again up to
-	// Jitter later, each at its own moment.
+	// EventHostsDown is a power loss of Share of the hosts. Each starts again after For and a
+	// random part of Jitter.
 	EventHostsDown EventKind = "HostsDown"
-	// EventBurst: callers of Zone, or all, ask Factor times as much For a time.
+	// EventBurst multiplies the request rate of the callers of Zone, or of all zones, by Factor
+	// during For.
 	EventBurst EventKind = "Burst"
-	// EventShift: Share of the callers of Zone ask in zone To For a time.
+	// EventShift makes Share of the callers of Zone send to zone To during For.
 	EventShift EventKind = "Shift"
-	// EventCrash: Share of a service's upstreams fall silent For a time, and then start again
-	// under their identifiers; for good if For is zero.
+	// EventCrash makes Share of a service's upstreams silent during For, after which they start
+	// again with the same identifiers. If For is zero, they stay silent.
 	EventCrash EventKind = "Crash"
-	// EventReplace: Share of a service's upstreams are replaced one after the other, Every so
-	// often: a new one starts, the old one drains.
+	// EventReplace replaces Share of a service's upstreams one after the other, at intervals of
+	// Every: a new one starts and the old one drains.
 	EventReplace EventKind = "Replace"
-	// EventCut: Zone is cut off from the other zones For a time; callers reach it.
+	// EventCut cuts Zone off from the other zones during For. Callers still reach it.
 	EventCut EventKind = "Cut"
-	// EventEvacuate: Zone gets no new flow For a time, or for good if For is zero. Its upstreams are slow for their
-	// warm-up when it is taken back.
+	// EventEvacuate evacuates Zone during For, or permanently if For is zero: it gets no new
+	// flows. When the evacuation ends, the zone's upstreams are slow for the duration of their
+	// warm-up.
 	EventEvacuate EventKind = "Evacuate"
 )
 
@@ -133,8 +139,8 @@
 	Every   bundle.Duration
 }
 
-// ReadPattern reads a pattern from a file system. Its findings are returned together as a
-// *hujson.FindingsError.
+// ReadPattern reads a pattern from a file system and checks it. It returns all findings together
+// as a *hujson.FindingsError.
 func ReadPattern(files fs.FS, name string) (*Pattern, error) {
 	src, err := fs.ReadFile(files, name)
 	if err != nil {
@@ -143,7 +149,8 @@
 	return DecodePattern(name, src)
 }
 
-// DecodePattern decodes a pattern and checks it.
+// DecodePattern decodes a pattern and checks it. It returns all findings together as a
+// *hujson.FindingsError.
 func DecodePattern(file string, src []byte) (*Pattern, error) {
 	p, f := hujson.Decode(file, src, Pattern{})
 	p.check(f)
@@ -153,7 +160,7 @@
 	return &p, nil
 }
 
-// Bounds of a pattern: what a play in memory takes well under a minute for.
+// Bounds of a pattern. A simulation within them fits in memory and takes well under a minute.
 const (
 	maxLength    = 10 * time.Minute
 	maxHosts     = 2000
@@ -165,7 +172,7 @@
 		f.Add("Name", "is missing")
 	}
 	if p.Grounds == "" {
-		f.Add("Grounds", "is missing: say where the figures come from")
+		f.Add("Grounds", "is missing: state where the numbers come from")
 	}
 	if d := time.Duration(p.Length); d < time.Second || d > maxLength {
 		f.Add("Length", "is %v, want 1s to %v", d, maxLength)
@@ -175,7 +182,7 @@
 	}
 	for i, z := range p.Zones {
 		if z.Name == "" || z.Hosts < 1 || z.Hosts > maxHosts || z.Share < 0 {
-			f.Add(fmt.Sprintf("Zones[%d]", i), "wants a name, 1 to %d hosts and a share", maxHosts)
+			f.Add(fmt.Sprintf("Zones[%d]", i), "needs a name, 1 to %d hosts and a share that isn't negative", maxHosts)
 		}
 	}
 	for i := range p.Services {
@@ -198,7 +205,7 @@
 		f.Add(at+".Upstreams", "has %d numbers, want one for each of %d zones", len(s.Upstreams), len(p.Zones))
 	}
 	if s.Slots < 1 || s.Queue < 0 {
-		f.Add(at, "wants at least one slot and no negative queue")
+		f.Add(at, "needs at least one slot and a queue that isn't negative")
 	}
 	if s.Warmup > 0 && s.WarmupFactor < 1 {
 		f.Add(at+".WarmupFactor", "is %v, want at least 1", s.WarmupFactor)
@@ -208,16 +215,16 @@
 func (p *Pattern) checkClass(f *hujson.Findings, i int) {
 	c, at := &p.Classes[i], fmt.Sprintf("Classes[%d]", i)
 	if !slices.ContainsFunc(p.Services, func(s Service) bool { return s.Name == c.Service }) {
-		f.Add(at+".Service", "is %q, which isn't among the services", c.Service)
+		f.Add(at+".Service", "is %q, which isn't one of the services", c.Service)
 	}
 	if c.PerSecond <= 0 || c.PerSecond > maxPerSecond {
 		f.Add(at+".PerSecond", "is %v, want more than 0 and at most %d", c.PerSecond, maxPerSecond)
 	}
 	if c.Work <= 0 || c.Objective <= 0 || c.Deadline < c.Objective {
-		f.Add(at, "wants times of work and objective, and a deadline that isn't before the objective")
+		f.Add(at, "needs a work time, an objective, and a deadline that isn't shorter than the objective")
 	}
 	if c.Retries < 0 || c.Worth <= 0 || c.Late < 0 {
-		f.Add(at, "wants a worth and no negative numbers")
+		f.Add(at, "needs a positive worth, and retries and a late worth that aren't negative")
 	}
 }
 
@@ -227,15 +234,15 @@
 		f.Add(at+".Kind", "is %q, want one of %v", e.Kind, eventKinds)
 	}
 	if e.At < 0 || e.At > p.Length || e.For < 0 || e.Jitter < 0 || e.Every < 0 {
-		f.Add(at, "wants times within the pattern's length")
+		f.Add(at, "needs a start within the pattern's length and no negative times")
 	}
 	for field, z := range map[string]bundle.Zone{"Zone": e.Zone, "To": e.To} {
 		if z != "" && !slices.ContainsFunc(p.Zones, func(o Zone) bool { return o.Name == z }) {
-			f.Add(at+"."+field, "is %q, which isn't among the zones", z)
+			f.Add(at+"."+field, "is %q, which isn't one of the zones", z)
 		}
 	}
 	if e.Service != "" && !slices.ContainsFunc(p.Services, func(s Service) bool { return s.Name == e.Service }) {
-		f.Add(at+".Service", "is %q, which isn't among the services", e.Service)
+		f.Add(at+".Service", "is %q, which isn't one of the services", e.Service)
 	}
 	if e.Share < 0 || e.Share > 1 {
 		f.Add(at+".Share", "is %v, want 0 to 1", e.Share)
--- a/internal/standin/emulator/patterns.go
+++ b/internal/standin/emulator/patterns.go
@@ -11,7 +11,7 @@
 //go:embed patterns/*.hujson
 var patternFiles embed.FS
 
-// PatternNames returns the names of the patterns that come with the program.
+// PatternNames returns the names of the patterns that are embedded in the program.
 func PatternNames() ([]string, error) {
 	files, err := fs.Glob(patternFiles, "patterns/*.hujson")
 	if err != nil {
@@ -23,7 +23,7 @@
 	return files, nil
 }
 
-// BuiltIn returns a pattern that comes with the program.
+// BuiltIn returns the embedded pattern with the given name.
 func BuiltIn(name string) (*Pattern, error) {
 	return ReadPattern(patternFiles, "patterns/"+name+".hujson")
 }
--- a/internal/standin/emulator/policy.go
+++ b/internal/standin/emulator/policy.go
@@ -5,93 +5,94 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// QueueObserver is what a policy that knows everything may look at.
+// QueueObserver shows the current queues of upstreams to a policy that has perfect knowledge.
 type QueueObserver interface {
-	// QueuePerSlot returns how many requests an upstream works on or lets wait, for each of its
-	// slots, and whether it takes more.
-	QueuePerSlot(id bundle.UpstreamID) (perSlot float64, room bool)
+	// QueuePerSlot returns how many requests an upstream processes or has queued, divided by its
+	// number of slots, and whether it has free capacity for another one.
+	QueuePerSlot(id bundle.UpstreamID) (perSlot float64, hasCapacity bool)
 }
 
 // QueuePerSlot implements QueueObserver.
-func (w *play) QueuePerSlot(id bundle.UpstreamID) (perSlot float64, room bool) {
-	s := w.server(id)
+func (sim *simulation) QueuePerSlot(id bundle.UpstreamID) (perSlot float64, hasCapacity bool) {
+	s := sim.server(id)
 	if s == nil {
 		return 0, false
 	}
-	return float64(s.working+len(s.queue)) / float64(s.service.Slots), s.room() > 0
+	return float64(s.working+len(s.queue)) / float64(s.service.Slots), s.freeSlots() > 0
 }
 
 // NamedPolicy is a policy to compare.
 type NamedPolicy struct {
 	Name string
-	// New makes the policy of one host.
-	New func(zone bundle.Zone, w QueueObserver) upstream.Policy
+	// New returns the policy of one host.
+	New func(zone bundle.Zone, queues QueueObserver) upstream.Policy
 }
 
-// Policies returns the policies that can be compared, the product's own first.
+// Policies returns the policies that can be compared. The first one is the product's own.
 func Policies() []NamedPolicy {
-	zoned := func(choices int) func(bundle.Zone, QueueObserver) upstream.Policy {
+	zoneAware := func(choices int) func(bundle.Zone, QueueObserver) upstream.Policy {
 		return func(z bundle.Zone, _ QueueObserver) upstream.Policy { return upstream.NewZoneAware(z, choices) }
 	}
 	return []NamedPolicy{
-		{Name: "Present", New: zoned(upstream.DefaultChoices)},
+		{Name: "Present", New: zoneAware(upstream.DefaultChoices)},
 		{Name: "Before", New: func(z bundle.Zone, _ QueueObserver) upstream.Policy {
-			return &blind{Policy: upstream.NewZoneAware(z, upstream.DefaultChoices)}
+			return &withoutRequests{Policy: upstream.NewZoneAware(z, upstream.DefaultChoices)}
 		}},
-		{Name: "OneChoice", New: zoned(1)},
-		{Name: "LeastOfAll", New: zoned(everyCandidate)},
+		{Name: "OneChoice", New: zoneAware(1)},
+		{Name: "LeastOfAll", New: zoneAware(allCandidates)},
 		{Name: "Hashed", New: func(z bundle.Zone, _ QueueObserver) upstream.Policy { return &hashed{zone: z} }},
-		{Name: "AllKnowing", New: func(z bundle.Zone, w QueueObserver) upstream.Policy { return &allKnowing{zone: z, world: w} }},
+		{Name: "AllKnowing", New: func(z bundle.Zone, q QueueObserver) upstream.Policy { return &allKnowing{zone: z, queues: q} }},
 	}
 }
 
-// everyCandidate is more choices than a service has upstreams.
-const everyCandidate = 1 << 20
+// allCandidates is a number of choices larger than the number of upstreams of any service.
+const allCandidates = 1 << 20
 
-// blind hides from a policy what a daemon itself waits for, as the product's own one didn't
-// look at that before.
-type blind struct {
+// withoutRequests hides from a policy the open requests of its own daemon, which an earlier
+// version of the product's policy didn't take into account.
+type withoutRequests struct {
 	upstream.Policy
-	seen []upstream.Candidate
+	stripped []upstream.Candidate
 }
 
 // Choose implements upstream.Policy.
-func (b *blind) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
-	b.seen = append(b.seen[:0], candidates...)
-	for i := range b.seen {
+func (b *withoutRequests) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
+	b.stripped = append(b.stripped[:0], candidates...)
+	for i := range b.stripped {
 		l := &upstream.Load{}
 		l.Flows.Store(candidates[i].Load.Total())
-		b.seen[i].Load = l
+		b.stripped[i].Load = l
 	}
-	return b.Policy.Choose(b.seen, seed)
+	return b.Policy.Choose(b.stripped, seed)
 }
 
-// hashed is the naive policy: an upstream of the own zone by the flow's hash.
+// hashed is a naive policy: it chooses an upstream of its own zone by the flow's hash.
 type hashed struct {
-	zone bundle.Zone
-	own  []upstream.Candidate
+	zone    bundle.Zone
+	ownZone []upstream.Candidate
 }
 
 // Choose implements upstream.Policy.
 func (h *hashed) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
-	h.own = h.own[:0]
+	h.ownZone = h.ownZone[:0]
 	for i := range candidates {
 		if candidates[i].Route.Zone == h.zone {
-			h.own = append(h.own, candidates[i])
+			h.ownZone = append(h.ownZone, candidates[i])
 		}
 	}
-	if len(h.own) == 0 {
+	if len(h.ownZone) == 0 {
 		return upstream.Hashed{}.Choose(candidates, seed)
 	}
-	return upstream.Hashed{}.Choose(h.own, seed)
+	return upstream.Hashed{}.Choose(h.ownZone, seed)
 }
 
-// allKnowing sees the queues of all upstreams at the moment of its choice, which no daemon
-// can. It takes the shortest of the own zone while that has a slot free, and else the
-// shortest of all. What it serves more than the product is what knowledge could still buy.
+// allKnowing reads the queues of all upstreams at the moment of its choice, which no daemon can
+// do. It chooses the shortest queue, and leaves its own zone only if the queue elsewhere is
+// shorter by more than otherZoneCost. The difference between its results and those of the
+// product's policy shows what better knowledge could still gain.
 type allKnowing struct {
-	zone  bundle.Zone
-	world QueueObserver
+	zone   bundle.Zone
+	queues QueueObserver
 }
 
 // Choose implements upstream.Policy.
@@ -111,23 +112,24 @@
 	return best.Route
 }
 
-// cost is how long a request would wait there, with its flows to tell equal ones apart.
+// cost returns the requests that are ahead of a new one, per slot, and whether the upstream has
+// free capacity. Its flows decide between equal upstreams.
 func (a *allKnowing) cost(c *upstream.Candidate) (float64, bool) {
-	perSlot, room := a.world.QueuePerSlot(c.Route.ID)
-	if !room {
+	perSlot, hasCapacity := a.queues.QueuePerSlot(c.Route.ID)
+	if !hasCapacity {
 		return 0, false
 	}
 	flows := float64(c.Load.Total()) / float64(c.Route.Slots)
-	cost := perSlot + flows/manyFlows
+	cost := perSlot + flows/flowsPerRequest
 	if c.Route.Zone != a.zone {
-		cost += otherZone
+		cost += otherZoneCost
 	}
 	return cost, true
 }
 
 const (
-	// manyFlows makes flows matter less than a request.
-	manyFlows = 1000
-	// otherZone is how many requests a slot more the own zone must have for a flow to leave it.
-	otherZone = 1
+	// flowsPerRequest is the number of flows per slot that weigh as much as one request per slot.
+	flowsPerRequest = 1000
+	// otherZoneCost is the additional cost, in requests per slot, of an upstream in another zone.
+	otherZoneCost = 1
 )
--- a/internal/standin/emulator/queue.go
+++ b/internal/standin/emulator/queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// heap is a binary heap that gives the least item first. The zero value is empty.
+// heap is a binary heap that pops the smallest item first. less must be set; items may be nil.
 type heap[T any] struct {
 	items []T
 	less  func(a, b *T) bool
@@ -27,14 +27,14 @@
 	first := h.items[0]
 	last := len(h.items) - 1
 	h.items[0] = h.items[last]
-	var none T
-	h.items[last] = none
+	var zero T
+	h.items[last] = zero
 	h.items = h.items[:last]
-	h.sink(0)
+	h.siftDown(0)
 	return first
 }
 
-func (h *heap[T]) sink(i int) {
+func (h *heap[T]) siftDown(i int) {
 	for {
 		least := i
 		for _, child := range [...]int{2*i + 1, 2*i + 2} {
@@ -50,15 +50,15 @@
 	}
 }
 
-// event is something that is done at a time. Events of one time are done in the order in
-// which they were planned.
+// event is a function that is called at a time. Events of the same time are called in the order
+// in which they were scheduled.
 type event struct {
 	at    time.Duration
 	order uint64
 	do    func()
 }
 
-// clock is virtual time with what is planned.
+// clock is virtual time with the scheduled events.
 type clock struct {
 	now    time.Duration
 	order  uint64
@@ -71,13 +71,13 @@
 	}}}
 }
 
-// after plans something.
+// after schedules a call after a delay. A negative delay counts as zero.
 func (c *clock) after(d time.Duration, do func()) {
 	c.order++
 	c.events.push(event{at: c.now + max(0, d), order: c.order, do: do})
 }
 
-// every plans something again and again, for the first time after a delay.
+// every schedules periodic calls, the first one after a delay.
 func (c *clock) every(first, period time.Duration, do func()) {
 	c.after(first, func() {
 		do()
@@ -85,7 +85,7 @@
 	})
 }
 
-// run does what is planned up to a time.
+// run executes all events up to and including a time.
 func (c *clock) run(until time.Duration) {
 	for len(c.events.items) > 0 && c.events.items[0].at <= until {
 		e := c.events.pop()
@@ -95,8 +95,8 @@
 	c.now = until
 }
 
-// epoch is the time of day at which each play begins, for what wants a time.Time.
-var epoch = time.Unix(1_764_720_000, 0)
+// wallStart is the time of day at which each simulation begins, for code that needs a time.Time.
+var wallStart = time.Unix(1_764_720_000, 0)
 
-// wall returns the present moment for the engines.
-func (c *clock) wall() time.Time { return epoch.Add(c.now) }
+// wallTime returns the current virtual time as a time of day.
+func (c *clock) wallTime() time.Time { return wallStart.Add(c.now) }
--- a/internal/standin/emulator/result.go
+++ b/internal/standin/emulator/result.go
@@ -6,7 +6,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// outcome is how a request ended, as its caller saw it.
+// outcome is the result of a request as its caller saw it.
 type outcome uint8
 
 const (
@@ -16,18 +16,20 @@
 	outcomeFailed
 )
 
-// windowLength is the length of the windows in which requests are counted by when they were
-// asked, that of the users' reports.
+// windowLength is the length of the windows in which requests are counted by their start time.
+// The users' reports have the same windows.
 const windowLength = 2 * time.Second
 
-// Counts are requests by how they ended.
+// Counts holds numbers of requests by outcome.
 type Counts struct {
+	// Asked is the number of all requests, the others count them by outcome.
 	Asked, InTime, Late, Refused, Failed int
-	// Earned and Owed are in the classes' worth.
+	// Earned is the worth of the answered requests, Owed the worth if all had been answered in
+	// time.
 	Earned, Owed float64
 }
 
-// Worth returns the part of what is owed that was earned, 1 if nothing was owed.
+// Worth returns Earned divided by Owed, or 1 if Owed is zero.
 func (c *Counts) Worth() float64 {
 	if c.Owed == 0 {
 		return 1
@@ -52,23 +54,27 @@
 	}
 }
 
-// Result is what callers and upstreams saw in one play.
+// Result is what callers and upstreams saw in one simulation.
 type Result struct {
 	Pattern, Policy string
 	Seed            uint64
 	All             Counts
-	// Windows count requests by when they were asked, Zones by where.
+	// Windows counts requests by their start time, Zones by the zone where they were sent.
 	Windows []Counts
 	Zones   map[bundle.Zone]*Counts
-	// Shed counts requests that upstreams had no room for, ShedWithRoom those of them for
-	// which another upstream of the service had room, in any zone.
+	// Shed is the number of requests that upstreams rejected for lack of capacity, ShedWithRoom
+	// the number of those for which another reachable upstream of the service, in any zone, had
+	// free capacity.
 	Shed, ShedWithRoom int
-	// BusiestOverMean is the largest number of requests of one upstream over the mean of its
-	// service and zone, for upstreams that were there all the time.
+	// BusiestOverMean is the largest number of requests of one upstream divided by the mean of
+	// its service and zone. It covers upstreams that ran from the start to the end.
 	BusiestOverMean float64
+	// Packets is the number of packets that hosts processed, Probes the number of probes of
+	// upstreams.
 	Packets, Probes int
 
-	flows uint32
+	// flowCount is the number of flows that callers have started to open.
+	flowCount uint32
 }
 
 func newResult(p *Pattern, o Options) *Result {
@@ -83,7 +89,7 @@
 	return r
 }
 
-func (r *Result) ended(q *request, o outcome) {
+func (r *Result) record(q *request, o outcome) {
 	c := q.class.Class
 	r.All.add(c, o)
 	r.Zones[q.zone.Name].add(c, o)
@@ -92,17 +98,18 @@
 	}
 }
 
-func (r *Result) shed(s *server) {
+func (r *Result) recordShed(s *server) {
 	r.Shed++
-	for _, o := range s.w.servers {
-		if o != s && o.service == s.service && o.room() > 0 && reaches(o.zone, s.zone) {
+	for _, o := range s.sim.servers {
+		if o != s && o.service == s.service && o.freeSlots() > 0 && reachable(o.zone, s.zone) {
 			r.ShedWithRoom++
 			return
 		}
 	}
 }
 
-// WorstWindows returns the mean worth of the two windows that served least, as the users weigh it.
+// WorstWindows returns the mean worth of the two windows with the lowest worth, which is how the
+// users rate a run.
 func (r *Result) WorstWindows() float64 {
 	first, second := 1.0, 1.0
 	for i := range r.Windows {
@@ -116,15 +123,15 @@
 	return (first + second) / 2
 }
 
-// finish works out what is known at the end only.
-func (r *Result) finish(w *play) {
+// finish computes the results that are known only at the end.
+func (r *Result) finish(sim *simulation) {
 	type group struct {
 		service *Service
 		zone    *zone
 	}
 	sums := make(map[group][]int)
-	for _, s := range w.servers {
-		if s.life == 1 && s.started == 0 && !s.dark && !s.draining {
+	for _, s := range sim.servers {
+		if s.incarnation == 1 && s.warmupStart == 0 && !s.silent && !s.draining {
 			g := group{s.service, s.zone}
 			sums[g] = append(sums[g], s.arrivals)
 		}
--- a/internal/standin/emulator/router.go
+++ b/internal/standin/emulator/router.go
@@ -9,29 +9,29 @@
 	"github.com/fescueshed/fescueshed/internal/connection/cookie"
 )
 
-// router spreads callers' packets over the hosts of a zone: by a hash of addresses and ports
-// over those in rotation, as the users' routers do.
+// router distributes callers' packets over the hosts of a zone: by a hash of addresses and ports
+// modulo the number of hosts in rotation, as the users' routers do.
 type router struct {
-	w    *play
+	sim  *simulation
 	zone *zone
-	// misses counts each host's readiness checks in a row that failed.
+	// misses counts each host's consecutive failed readiness checks.
 	misses []int
 }
 
 const (
-	// checkPeriod is how often routers ask whether a host is ready, outAfter after how many
-	// misses it is out of rotation.
+	// checkPeriod is the interval of readiness checks. A host leaves the rotation after maxMisses
+	// consecutive failed ones.
 	checkPeriod = 500 * time.Millisecond
-	outAfter    = 2
+	maxMisses   = 2
 )
 
-func newRouter(w *play, z *zone) *router { return &router{w: w, zone: z} }
+func newRouter(sim *simulation, z *zone) *router { return &router{sim: sim, zone: z} }
 
-// begin starts the readiness checks of the zone's hosts, each at its own moment.
-func (r *router) begin() {
+// startChecks starts the readiness checks of the zone's hosts, each at a random phase.
+func (r *router) startChecks() {
 	r.misses = make([]int, len(r.zone.hosts))
 	for i, h := range r.zone.hosts {
-		r.w.every(r.w.jitter(checkPeriod), checkPeriod, func() {
+		r.sim.every(r.sim.jitter(checkPeriod), checkPeriod, func() {
 			if h.ready {
 				r.misses[i] = 0
 			} else {
@@ -41,12 +41,12 @@
 	}
 }
 
-// rotation returns the hosts that take packets: those in rotation, or all if they are fewer
-// than half.
+// rotation returns the hosts that receive packets: those in rotation, or all hosts if fewer than
+// half are in rotation. It returns none if none is.
 func (r *router) rotation() []*host {
 	in := make([]*host, 0, len(r.zone.hosts))
 	for i, h := range r.zone.hosts {
-		if r.misses[i] < outAfter {
+		if r.misses[i] < maxMisses {
 			in = append(in, h)
 		}
 	}
@@ -56,19 +56,21 @@
 	return in
 }
 
-// pick returns the host that a flow's packet goes to now. If no host of the zone is in
-// rotation, one of the next zone that has some takes it.
+// pick returns the host that receives a packet of a flow now. If no host of the zone is in
+// rotation, it picks from the next zone that has some, and from all hosts of its own zone if no
+// zone has any.
 func (r *router) pick(k cookie.Key) *host {
-	n := len(r.w.zones)
+	n := len(r.sim.zones)
 	for i := range n {
-		if list := r.w.zones[(r.zone.index+i)%n].router.rotation(); len(list) > 0 {
-			return list[spread(k)%uint64(len(list))]
+		if list := r.sim.zones[(r.zone.index+i)%n].router.rotation(); len(list) > 0 {
+			return list[flowHash(k)%uint64(len(list))]
 		}
 	}
-	return r.zone.hosts[spread(k)%uint64(len(r.zone.hosts))]
+	return r.zone.hosts[flowHash(k)%uint64(len(r.zone.hosts))]
 }
 
-func spread(k cookie.Key) uint64 {
+// flowHash returns the hash of a flow by which routers pick a host.
+func flowHash(k cookie.Key) uint64 {
 	var b [8]byte
 	copy(b[:], k.CallerIP[:])
 	binary.BigEndian.PutUint16(b[4:], k.CallerPort)
--- a/internal/standin/emulator/server.go
+++ b/internal/standin/emulator/server.go
@@ -10,119 +10,122 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// server is an upstream.
+// server emulates an upstream.
 type server struct {
-	w       *play
+	sim     *simulation
 	service *Service
 	zone    *zone
 	id      bundle.UpstreamID
 	address netip.AddrPort
-	// dark says that it has fallen silent, lapsed that the list no longer has it.
-	dark, lapsed, draining bool
-	// life tells one incarnation from the next.
-	life int
-	// born is when it started, started when it was cold last.
-	born, started time.Duration
-	warmup        time.Duration
-	revision      objects.Position
-	flows         map[*flow]bool
-	working       int
-	queue         []*try
-	// arrivals counts requests that came, shed those that it refused.
+	// silent says that the upstream neither receives nor sends anything, deregistered that its
+	// registration was removed, draining that its flows close after their current request.
+	silent, deregistered, draining bool
+	// incarnation is the number of starts so far, so that what was scheduled by an earlier one is
+	// discarded.
+	incarnation int
+	// startedAt is when the incarnation started, warmupStart when its last warm-up began.
+	startedAt, warmupStart time.Duration
+	warmup                 time.Duration
+	revision               objects.Position
+	flows                  map[*flow]bool
+	working                int
+	queue                  []*try
+	// arrivals counts requests that arrived, shed those that were rejected.
 	arrivals, shed int
 }
 
-// Times of an upstream's entry, as at the users' installations.
+// Times of a registration, as in the users' installations.
 const (
-	// lapseAfter is when the entry of an upstream that fell silent is gone.
-	lapseAfter = 3600 * time.Millisecond
-	// drainFor is how long a draining upstream serves on.
-	drainFor = 4 * time.Second
+	// registrationTTL is when the registration of an upstream that fell silent expires.
+	registrationTTL = 3600 * time.Millisecond
+	// drainDuration is how long a draining upstream continues to serve.
+	drainDuration = 4 * time.Second
 )
 
-// start begins an incarnation.
+// start begins a new incarnation, which is slow for the duration of warmup.
 func (s *server) start(warmup time.Duration) {
-	s.life++
-	s.dark, s.lapsed = false, false
-	s.born, s.started, s.warmup = s.w.now, s.w.now, warmup
+	s.incarnation++
+	s.silent, s.deregistered = false, false
+	s.startedAt, s.warmupStart, s.warmup = s.sim.now, s.sim.now, warmup
 	s.working, s.queue = 0, nil
 	s.flows = make(map[*flow]bool)
-	s.w.tell(s, false)
-	s.revision = s.w.revision
+	s.sim.announceServer(s, false)
+	s.revision = s.sim.revision
 }
 
-// cool makes the upstream slow again, without a new incarnation.
-func (s *server) cool() {
-	s.started, s.warmup = s.w.now, time.Duration(s.service.Warmup)
-	s.w.tell(s, false)
-	s.revision = s.w.revision
+// restartWarmup makes the upstream slow again, without a new incarnation.
+func (s *server) restartWarmup() {
+	s.warmupStart, s.warmup = s.sim.now, time.Duration(s.service.Warmup)
+	s.sim.announceServer(s, false)
+	s.revision = s.sim.revision
 }
 
-// crash ends an incarnation without a word. Its entry lapses later.
+// crash ends the incarnation without notice. The registration expires after registrationTTL.
 func (s *server) crash() {
-	s.dark = true
+	s.silent = true
 	for f := range s.flows {
 		f.server = nil
 	}
-	life := s.life
-	s.w.after(lapseAfter, func() {
-		if s.dark && s.life == life {
-			s.leave()
+	incarnation := s.incarnation
+	s.sim.after(registrationTTL, func() {
+		if s.silent && s.incarnation == incarnation {
+			s.deregister()
 		}
 	})
 }
 
-// leave takes the entry off the list.
-func (s *server) leave() {
-	s.dark, s.lapsed = true, true
-	s.w.tell(s, true)
+// deregister removes the registration and stops the upstream.
+func (s *server) deregister() {
+	s.silent, s.deregistered = true, true
+	s.sim.announceServer(s, true)
 }
 
-// drain ends an incarnation as planned.
+// drain announces that the upstream drains, and stops it after drainDuration.
 func (s *server) drain() {
 	s.draining = true
-	s.w.tell(s, false)
-	s.revision = s.w.revision
-	s.w.after(drainFor, s.leave)
+	s.sim.announceServer(s, false)
+	s.revision = s.sim.revision
+	s.sim.after(drainDuration, s.deregister)
 }
 
-// entry returns what the upstream writes of itself.
-func (s *server) entry(at objects.Position) registry.Registration {
+// registration returns the registration that the upstream writes to the store.
+func (s *server) registration(at objects.Position) registry.Registration {
 	return registry.Registration{
 		ID: s.id, Service: s.service.Name, Address: s.address, Zone: s.zone.Name, Slots: s.service.Slots,
-		Draining: s.draining, Warmup: max(0, s.started+s.warmup-s.w.now), Created: objects.Position(s.id), Revision: at,
-		StartTime: registry.UnixMilli(epoch.Add(s.born).UnixMilli()), Sequence: 1,
+		Draining: s.draining, Warmup: max(0, s.warmupStart+s.warmup-s.sim.now), Created: objects.Position(s.id), Revision: at,
+		StartTime: registry.UnixMilli(wallStart.Add(s.startedAt).UnixMilli()), Sequence: 1,
 	}
 }
 
-// receive takes a packet that a host has sent on.
+// receive handles a packet that a host forwarded.
 func (s *server) receive(f *flow, p *cookie.Packet) {
 	switch {
-	case s.dark:
+	case s.silent:
 	case p.Flags == cookie.FlagSYN:
 		s.accept(f)
-	case f.server != s || f.life != s.life:
-		s.w.after(time.Duration(s.w.pattern.Delays.Caller), f.reset)
+	case f.server != s || f.incarnation != s.incarnation:
+		s.sim.after(time.Duration(s.sim.pattern.Delays.Caller), f.reset)
 	case p.Flags.Has(cookie.FlagFIN):
 		delete(s.flows, f)
 	case p.Length > 0:
-		s.ask(f.try)
+		s.admit(f.try)
 	}
 }
 
-// accept answers a first packet. The flow opens where its caller says first.
+// accept answers a first packet, unless the upstream has maxConnections flows. The flow opens at
+// the upstream whose answer its caller receives first.
 func (s *server) accept(f *flow) {
-	if len(s.flows) >= connections {
+	if len(s.flows) >= maxConnections {
 		return
 	}
-	life := s.life
-	s.w.after(time.Duration(s.w.pattern.Delays.Caller), func() { f.accepted(s, life) })
+	incarnation := s.incarnation
+	s.sim.after(time.Duration(s.sim.pattern.Delays.Caller), func() { f.accepted(s, incarnation) })
 }
 
-// ask takes a request or lets it wait; if there is no room for that, one is shed.
-func (s *server) ask(t *try) {
+// admit processes or queues a request. If the queue is full, it sheds one.
+func (s *server) admit(t *try) {
 	if t == nil || t.arrived {
-		return // A copy.
+		return // A retransmission.
 	}
 	t.arrived = true
 	s.arrivals++
@@ -134,7 +137,7 @@
 	case len(s.queue) == 0:
 		s.refuse(t)
 	default:
-		// The users' upstreams were seen to shed what has waited longest.
+		// The users' upstreams shed the request that has waited longest.
 		oldest := s.queue[0]
 		s.queue = append(s.queue[1:], t)
 		s.refuse(oldest)
@@ -143,23 +146,23 @@
 
 func (s *server) refuse(t *try) {
 	s.shed++
-	s.w.result.shed(s)
-	s.w.after(time.Duration(s.w.pattern.Delays.Caller), t.refused)
+	s.sim.result.recordShed(s)
+	s.sim.after(time.Duration(s.sim.pattern.Delays.Caller), t.refused)
 }
 
 func (s *server) work(t *try) {
 	s.working++
 	d := t.request.work
-	if s.w.now < s.started+s.warmup {
+	if s.sim.now < s.warmupStart+s.warmup {
 		d = time.Duration(float64(d) * s.service.WarmupFactor)
 	}
-	life := s.life
-	s.w.after(d, func() {
-		if s.life != life || s.dark {
+	incarnation := s.incarnation
+	s.sim.after(d, func() {
+		if s.incarnation != incarnation || s.silent {
 			return
 		}
 		s.working--
-		s.w.after(time.Duration(s.w.pattern.Delays.Caller), t.answered)
+		s.sim.after(time.Duration(s.sim.pattern.Delays.Caller), t.answered)
 		if len(s.queue) > 0 {
 			next := s.queue[0]
 			s.queue = s.queue[1:]
@@ -168,18 +171,18 @@
 	})
 }
 
-// room is how many requests more it would take now.
-func (s *server) room() int {
-	if s.dark || s.draining {
+// freeSlots returns how many more requests the upstream would process or queue now.
+func (s *server) freeSlots() int {
+	if s.silent || s.draining {
 		return 0
 	}
 	return s.service.Slots + s.service.Queue - s.working - len(s.queue)
 }
 
-// server returns the upstream of an identifier.
-func (w *play) server(id bundle.UpstreamID) *server {
-	if id == 0 || int(id) > len(w.servers) {
+// server returns the upstream with an identifier, or nil if there is none.
+func (sim *simulation) server(id bundle.UpstreamID) *server {
+	if id == 0 || int(id) > len(sim.servers) {
 		return nil
 	}
-	return w.servers[id-1]
+	return sim.servers[id-1]
 }
--- a/internal/standin/emulator/simulation.go
+++ b/internal/standin/emulator/simulation.go
@@ -12,15 +12,15 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// Options are the settings of one play.
+// Options are the settings of one simulation.
 type Options struct {
 	Seed uint64
-	// Policy places new flows.
+	// Policy places new flows. The default is the product's own policy.
 	Policy NamedPolicy
 }
 
-// play is one pattern with one seed and one policy.
-type play struct {
+// simulation runs one pattern with one seed and one policy.
+type simulation struct {
 	*clock
 	pattern *Pattern
 	opts    Options
@@ -29,12 +29,13 @@
 	zones   []*zone
 	servers []*server
 	classes []*class
-	// revision is that of the list of upstreams, nextID the last identifier given.
+	// revision is the store revision of the latest registration, lastID the last upstream
+	// identifier that was assigned.
 	revision objects.Position
-	nextID   bundle.UpstreamID
-	// byKey are the flows that aren't closed.
-	byKey  map[cookie.Key]*flow
-	result *Result
+	lastID   bundle.UpstreamID
+	// openFlows holds the flows that aren't closed.
+	openFlows map[cookie.Key]*flow
+	result    *Result
 }
 
 // zone is an availability zone.
@@ -43,60 +44,63 @@
 	index  int
 	hosts  []*host
 	router *router
-	// cut is set while the zone is cut off from the others, factor is by how much more its
-	// callers ask.
-	cut bool
-	// evacuated is set while no new flow enters the zone.
+	// isolated says that the zone is cut off from the others.
+	isolated bool
+	// evacuated says that the zone gets no new flows.
 	evacuated bool
-	factor    float64
-	// shifted is where part of its callers ask now.
-	shifted      *zone
+	// rateFactor multiplies the request rate of the zone's callers.
+	rateFactor float64
+	// shiftTarget is the zone to which shiftedShare of the callers send. It is nil without a
+	// shift.
+	shiftTarget  *zone
 	shiftedShare float64
 }
 
-// flowTail is how long requests of the end have to be answered.
-const flowTail = 5 * time.Second
+// finalWait is how long the simulation continues after Pattern.Length, so that the last requests
+// can be answered.
+const finalWait = 5 * time.Second
 
-// Run plays a pattern. Equal arguments give equal results.
+// Run simulates a pattern. It uses the first of Policies if o names none. Equal arguments give
+// equal results.
 func Run(p *Pattern, o Options) (*Result, error) {
 	if o.Policy.New == nil {
 		o.Policy = Policies()[0]
 	}
-	w := &play{
+	sim := &simulation{
 		clock: newClock(), pattern: p, opts: o, rng: rand.New(rand.NewPCG(o.Seed, uint64(len(p.Name)))),
-		byKey: make(map[cookie.Key]*flow), result: newResult(p, o),
+		openFlows: make(map[cookie.Key]*flow), result: newResult(p, o),
 	}
-	if err := w.makeRouting(); err != nil {
+	if err := sim.makeRouting(); err != nil {
 		return nil, err
 	}
-	w.makeZones()
-	w.makeServers()
-	w.makeHosts()
-	w.makeClasses()
+	sim.makeZones()
+	sim.makeServers()
+	sim.makeHosts()
+	sim.makeClasses()
 	for i := range p.Events {
-		w.planEvent(&p.Events[i])
+		sim.scheduleEvent(&p.Events[i])
 	}
-	w.run(time.Duration(p.Length) + flowTail)
-	w.result.finish(w)
-	return w.result, nil
+	sim.run(time.Duration(p.Length) + finalWait)
+	sim.result.finish(sim)
+	return sim.result, nil
 }
 
-// routeAddress is where callers of the nth class send to.
+// routeAddress returns the service address to which callers of the nth class send.
 func routeAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(n >> 8), byte(n)}), 443)
 }
 
-// makeRouting makes the one bundle of a play, with a route for each class.
-func (w *play) makeRouting() error {
+// makeRouting builds the only bundle of a simulation, with one route for each class.
+func (sim *simulation) makeRouting() error {
 	b := &bundle.Bundle{}
-	for i := range w.pattern.Services {
+	for i := range sim.pattern.Services {
 		b.Services = append(b.Services, bundle.Service{
-			Name: w.pattern.Services[i].Name, Registered: true, Connections: connections,
+			Name: sim.pattern.Services[i].Name, Registered: true, Connections: maxConnections,
 			IdleTimeout: bundle.Duration(idleTimeout),
 		})
 	}
-	for i := range w.pattern.Classes {
-		c := &w.pattern.Classes[i]
+	for i := range sim.pattern.Classes {
+		c := &sim.pattern.Classes[i]
 		b.Routes = append(b.Routes, bundle.Route{
 			Name: c.Name, Address: routeAddress(i), Targets: []bundle.Target{{Service: c.Service, Weight: 1}},
 			Deadline: c.Deadline, Objective: c.Objective, Idempotent: c.Idempotent,
@@ -105,98 +109,100 @@
 	if err := b.Check(); err != nil {
 		return err
 	}
-	w.routing = bundle.NewRouting(1, b, nil)
+	sim.routing = bundle.NewRouting(1, b, nil)
 	return nil
 }
 
-// Limits of upstreams that the patterns don't vary: those of the users' today.
+// Limits of upstreams that no pattern varies: the ones that the users' installations have.
 const (
-	connections = 2000
-	idleTimeout = 15 * time.Second
+	maxConnections = 2000
+	idleTimeout    = 15 * time.Second
 )
 
-func (w *play) makeZones() {
-	for i, z := range w.pattern.Zones {
-		w.zones = append(w.zones, &zone{Zone: z, index: i, factor: 1})
+func (sim *simulation) makeZones() {
+	for i, z := range sim.pattern.Zones {
+		sim.zones = append(sim.zones, &zone{Zone: z, index: i, rateFactor: 1})
 	}
-	for _, z := range w.zones {
-		z.router = newRouter(w, z)
+	for _, z := range sim.zones {
+		z.router = newRouter(sim, z)
 	}
 }
 
-func (w *play) makeServers() {
-	for i := range w.pattern.Services {
-		s := &w.pattern.Services[i]
+func (sim *simulation) makeServers() {
+	for i := range sim.pattern.Services {
+		s := &sim.pattern.Services[i]
 		for zi, n := range s.Upstreams {
 			for range n {
-				w.addServer(s, w.zones[zi], 0)
+				sim.addServer(s, sim.zones[zi], 0)
 			}
 		}
 	}
 }
 
-// addServer starts an upstream with a new identifier. It is slow for a time.
-func (w *play) addServer(s *Service, z *zone, warmup time.Duration) {
-	w.nextID++
-	v := &server{w: w, service: s, zone: z, id: w.nextID, flows: make(map[*flow]bool)}
+// addServer starts an upstream with a new identifier. It is slow for the duration of warmup.
+func (sim *simulation) addServer(s *Service, z *zone, warmup time.Duration) {
+	sim.lastID++
+	v := &server{sim: sim, service: s, zone: z, id: sim.lastID, flows: make(map[*flow]bool)}
 	v.address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(v.id >> 16), byte(v.id >> 8), byte(v.id)}), 8080)
 	v.start(warmup)
-	w.servers = append(w.servers, v)
+	sim.servers = append(sim.servers, v)
 }
 
-// tell lets all hosts know of a changed entry, each after a delay of its own.
-func (w *play) tell(v *server, gone bool) {
-	w.revision++
-	r := v.entry(w.revision)
-	asOf := w.revision
-	for _, z := range w.zones {
+// announceServer sends an upstream's changed or removed registration to all hosts, each after a
+// delay of its own.
+func (sim *simulation) announceServer(v *server, removed bool) {
+	sim.revision++
+	r := v.registration(sim.revision)
+	asOf := sim.revision
+	for _, z := range sim.zones {
 		for _, h := range z.hosts {
-			d := time.Duration(w.pattern.Delays.List)
-			w.after(d+w.jitter(d), func() { h.learn(registry.Change{Registration: r, Removed: gone}, asOf) })
+			d := time.Duration(sim.pattern.Delays.List)
+			sim.after(d+sim.jitter(d), func() { h.applyChange(registry.Change{Registration: r, Removed: removed}, asOf) })
 		}
 	}
 }
 
-// listed returns the entries of all upstreams, as a host that starts reads them.
-func (w *play) listed() []registry.Registration {
+// registrations returns the registrations of all upstreams, as a starting host reads them.
+func (sim *simulation) registrations() []registry.Registration {
 	var out []registry.Registration
-	for _, v := range w.servers {
-		if !v.lapsed {
-			out = append(out, v.entry(v.revision))
+	for _, v := range sim.servers {
+		if !v.deregistered {
+			out = append(out, v.registration(v.revision))
 		}
 	}
 	return out
 }
 
-func (w *play) makeHosts() {
-	for _, z := range w.zones {
+func (sim *simulation) makeHosts() {
+	for _, z := range sim.zones {
 		for range z.Hosts {
-			z.hosts = append(z.hosts, newHost(w, z))
+			z.hosts = append(z.hosts, newHost(sim, z))
 		}
 		for _, h := range z.hosts {
-			h.begin()
+			h.start()
 		}
-		w.every(w.jitter(loadsPeriod), loadsPeriod, func() { w.exchange(z, false) })
-		w.every(w.jitter(peer.StartupReportPeriod), peer.StartupReportPeriod, func() { w.exchange(z, true) })
-		z.router.begin()
+		sim.every(sim.jitter(reportPeriod), reportPeriod, func() { sim.exchangeReports(z, false) })
+		sim.every(sim.jitter(peer.StartupReportPeriod), peer.StartupReportPeriod, func() { sim.exchangeReports(z, true) })
+		z.router.startChecks()
 	}
 }
 
-// jitter returns a random part of a time.
-func (w *play) jitter(d time.Duration) time.Duration {
+// jitter returns a random duration of at least 0 and less than d, or 0 if d isn't positive.
+func (sim *simulation) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	return time.Duration(w.rng.Int64N(int64(d)))
+	return time.Duration(sim.rng.Int64N(int64(d)))
 }
 
-// reaches reports whether packets pass between two zones.
-func reaches(a, b *zone) bool { return a == b || !a.cut && !b.cut }
+// reachable reports whether packets pass between two zones.
+func reachable(a, b *zone) bool { return a == b || !a.isolated && !b.isolated }
 
-// way returns the delay between a host and an upstream.
-func (w *play) way(a, b *zone) time.Duration {
+// networkDelay returns the one-way delay between a host in one zone and an upstream in another or
+// the same zone.
+func (sim *simulation) networkDelay(a, b *zone) time.Duration {
 	if a == b {
-		return time.Duration(w.pattern.Delays.Zone)
+		return time.Duration(sim.pattern.Delays.Zone)
 	}
-	return time.Duration(w.pattern.Delays.Cross)
+	return time.Duration(sim.pattern.Delays.Cross)
 }
