--- a/internal/standin/emulator/emulator_test.go
+++ b/internal/standin/emulator/emulator_test.go
@@ -11,6 +11,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
+// read reads a pattern by name.
 func read(t *testing.T, name string) *emulator.Pattern {
 	t.Helper()
 	p, err := emulator.ReadPattern(os.DirFS("patterns"), name+".hujson")
@@ -20,6 +21,7 @@
 	return p
 }
 
+// policy returns the policy with a name.
 func policy(t *testing.T, name string) emulator.NamedPolicy {
 	t.Helper()
 	for _, p := range emulator.Policies() {
@@ -38,9 +40,9 @@
 }
 
 // sum runs a pattern with four seeds.
-func sum(t *testing.T, p *emulator.Pattern, by string) total {
+func sum(t *testing.T, p *emulator.Pattern, policyName string) total {
 	t.Helper()
-	return sumOf(t, p, by, 4)
+	return sumOf(t, p, policyName, 4)
 }
 
 // sumOfLarge runs a pattern of many hosts with two seeds: its results vary less, and a run takes
@@ -50,11 +52,12 @@
 	return sumOf(t, p, "Present", 2)
 }
 
-func sumOf(t *testing.T, p *emulator.Pattern, by string, seeds int) total {
+// sumOf runs a pattern with the given policy and number of seeds.
+func sumOf(t *testing.T, p *emulator.Pattern, policyName string, seeds int) total {
 	t.Helper()
 	var out total
 	for seed := range seeds {
-		r, err := emulator.Run(p, emulator.Options{Seed: uint64(seed + 1), Policy: policy(t, by)})
+		r, err := emulator.Run(p, emulator.Options{Seed: uint64(seed + 1), Policy: policy(t, policyName)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -66,6 +69,7 @@
 	return out
 }
 
+// Guards against results that differ between runs with equal seeds.
 func TestRunIsReproducible(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -80,6 +84,7 @@
 	g.Expect(other.All).NotTo(Equal(first.All))
 }
 
+// Guards against losses without any disturbance.
 func TestCalmLoadIsServed(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -104,7 +109,7 @@
 
 // Guards against a loss of worth by poor placement after all hosts lose power and return without
 // state, when no host knows what the others place. A policy with perfect knowledge of all queues
-// couldn't serve much more, since most requests are lost while the hosts are down.
+// couldn't serve much more, since requests are lost only while the hosts are down.
 func TestReturnOfAllCallersComesCloseToPerfectKnowledge(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -197,6 +202,8 @@
 	g.Expect(r.worst).To(BeNumerically(">", sumOfLarge(t, &calm).worst-0.002))
 }
 
+// Guards against faulty patterns that are accepted, or findings that don't name the field at
+// fault.
 func TestPatternFindings(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct{ src, finding string }{
@@ -216,6 +223,7 @@
 	}
 }
 
+// Guards against patterns that can't be read, or whose load without events can't be served.
 func TestAllPatternsRun(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
--- a/internal/standin/emulator/policy.go
+++ b/internal/standin/emulator/policy.go
@@ -56,14 +56,14 @@
 }
 
 // Choose implements upstream.Policy.
-func (b *withoutRequests) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
-	b.stripped = append(b.stripped[:0], candidates...)
-	for i := range b.stripped {
+func (p *withoutRequests) Choose(candidates []upstream.Candidate, seed uint64) *bundle.UpstreamRoute {
+	p.stripped = append(p.stripped[:0], candidates...)
+	for i := range p.stripped {
 		l := &upstream.Load{}
 		l.Flows.Store(candidates[i].Load.Total())
-		b.stripped[i].Load = l
+		p.stripped[i].Load = l
 	}
-	return b.Policy.Choose(b.stripped, seed)
+	return p.Policy.Choose(p.stripped, seed)
 }
 
 // hashed is a naive policy: it chooses an upstream of its own zone by the flow's hash.
