--- a/cmd/fescueshed/zone_test.go
+++ b/cmd/fescueshed/zone_test.go
@@ -16,8 +16,9 @@
 )
 
 // An operator mistypes a zone, evacuates one twice, ends an evacuation that doesn't exist, and runs the
-// command while the store refuses calls. Each time the command must report the true state. An unknown
-// zone is never written: the operator would switch off the intended zone while it still has its flows.
+// command while the store refuses calls. Each time the command must report the true state. The evacuation
+// of an unknown zone must never be written: the operator would take it for that of the intended zone, and
+// switch that zone off while it still has its flows.
 func TestZoneCommandsAsProcesses(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "fescueshed")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
--- a/cmd/soak/fault.go
+++ b/cmd/soak/fault.go
@@ -35,17 +35,17 @@
 	{name: "hang up", weight: 1, planned: true, inject: func(r *run) string { return r.signal(syscall.SIGHUP) }},
 	{name: "pause", weight: 3, inject: (*run).pause},
 	{name: "kill many", weight: 1, inject: (*run).killMany},
-	{name: "store link", weight: 4, inject: (*run).storeLink},
-	{name: "store", weight: 3, inject: (*run).store},
-	{name: "forget history", weight: 1, inject: (*run).forgetHistory},
+	{name: "store link", weight: 4, inject: (*run).storeLinkFault},
+	{name: "store", weight: 3, inject: (*run).storeFault},
+	{name: "forget history", weight: 1, inject: (*run).dropHistory},
 	{name: "store restored", weight: 2, inject: (*run).restore},
-	{name: "router cut", weight: 2, inject: (*run).routerCut},
-	{name: "peer cut", weight: 3, inject: (*run).peerCut},
-	{name: "zone cut", weight: 2, inject: (*run).zoneCut},
-	{name: "upstream cut", weight: 2, inject: (*run).upstreamCut},
+	{name: "router cut", weight: 2, inject: (*run).cutFromRouters},
+	{name: "peer cut", weight: 3, inject: (*run).cutPeers},
+	{name: "zone cut", weight: 2, inject: (*run).cutZone},
+	{name: "upstream cut", weight: 2, inject: (*run).cutUpstream},
 	{name: "bundle", weight: 4, planned: true, inject: func(r *run) string { r.w.Roll(); return "next version" }},
 	{name: "bundle grows", weight: 2, planned: true, inject: (*run).grow},
-	{name: "thin link", weight: 2, planned: true, inject: (*run).thinLink},
+	{name: "thin link", weight: 2, planned: true, inject: (*run).limitLink},
 	{name: "drain", weight: 3, planned: true, inject: (*run).drain},
 	{name: "crash", weight: 2, inject: func(r *run) string { return r.crash(false) }},
 	{name: "crash and reuse", weight: 1, inject: func(r *run) string { return r.crash(true) }},
@@ -102,8 +102,8 @@
 	return "most balancers are killed"
 }
 
-// storeLink sets a random fault on a random host's connections to the store for a time.
-func (r *run) storeLink() string {
+// storeLinkFault sets a random fault on a random host's connections to the store for a time.
+func (r *run) storeLinkFault() string {
 	h := r.w.Hosts[r.randomHost()]
 	f := world.LinkFault(1 + r.rng.IntN(int(world.LinkFaultCount)-1))
 	d := r.faultDuration()
@@ -112,10 +112,10 @@
 	return fmt.Sprintf("%s's link to the store is %v for %v", h.Name, f, d)
 }
 
-// store makes the whole store fail in a random manner for a time. A store that was deaf, that is, whose watches
-// reported no changes, drops its history at the end.
-func (r *run) store() string {
-	troubles := map[string]metadata.Faults{
+// storeFault makes the whole store fail in a random manner for a time. A store that was deaf, that is, whose watches
+// reported no changes, drops its history at the end, so that clients must list again.
+func (r *run) storeFault() string {
+	faultsByName := map[string]metadata.Faults{
 		"down":   {Status: http.StatusServiceUnavailable},
 		"busy":   {Status: http.StatusTooManyRequests},
 		"cut":    {ResetConnections: true},
@@ -125,7 +125,7 @@
 	}
 	names := []string{"down", "busy", "cut", "silent", "slow", "deaf"}
 	name, d := names[r.rng.IntN(len(names))], r.faultDuration()
-	r.w.Store.SetFaults(troubles[name])
+	r.w.Store.SetFaults(faultsByName[name])
 	time.AfterFunc(d, func() {
 		if name == "deaf" {
 			r.w.Store.DropHistory()
@@ -135,8 +135,8 @@
 	return fmt.Sprintf("the store is %s for %v", name, d)
 }
 
-// forgetHistory makes the store drop the history of its changes.
-func (r *run) forgetHistory() string {
+// dropHistory makes the store drop the history of its changes.
+func (r *run) dropHistory() string {
 	r.w.Store.DropHistory()
 	return "the store drops its history"
 }
@@ -163,8 +163,8 @@
 	r.snapshots = append(r.snapshots, storeSnapshot{at: time.Now(), restore: r.w.Store.Snapshot()})
 }
 
-// routerCut drops the callers' packets to a random host for a time.
-func (r *run) routerCut() string {
+// cutFromRouters drops the callers' packets to a random host for a time.
+func (r *run) cutFromRouters() string {
 	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	at := r.w.DataAddress(h)
 	r.w.Router.SetUnreachable(at, true)
@@ -172,27 +172,27 @@
 	return fmt.Sprintf("packets to %s are dropped for %v", h.Name, d)
 }
 
-// peerCut cuts a random host off from the other hosts for a time, in both directions or in one.
-func (r *run) peerCut() string {
+// cutPeers cuts a random host off from the other hosts for a time, in both directions or in one.
+func (r *run) cutPeers() string {
 	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	ways := []struct {
-		receives, reaches bool
-		effect            string
-	}{{effect: "cut off from"}, {receives: true, effect: "unable to send to"}, {reaches: true, effect: "unable to receive from"}}
+		receives, sends bool
+		effect          string
+	}{{effect: "cut off from"}, {receives: true, effect: "unable to send to"}, {sends: true, effect: "unable to receive from"}}
 	way := ways[r.rng.IntN(len(ways))]
-	r.w.CutPeers(h, way.receives, way.reaches, d)
+	r.w.CutPeers(h, way.receives, way.sends, d)
 	return fmt.Sprintf("%s is %s the others for %v", h.Name, way.effect, d)
 }
 
-// zoneCut cuts a random host's zone off from the other zones for a time.
-func (r *run) zoneCut() string {
+// cutZone cuts a random host's zone off from the other zones for a time.
+func (r *run) cutZone() string {
 	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	r.w.CutZone(h.Zone, d)
 	return fmt.Sprintf("%s is cut off from the other zones for %v", h.Zone, d)
 }
 
-// upstreamCut cuts an upstream off from what the hosts send, for a time.
-func (r *run) upstreamCut() string {
+// cutUpstream cuts an upstream off from what the hosts send, for a time.
+func (r *run) cutUpstream() string {
 	d := r.faultDuration()
 	if !r.w.CutUpstream(d) {
 		return ""
@@ -217,8 +217,8 @@
 	maxGrownRoutes  = 4000
 )
 
-// thinLink limits a random host's link to 10 Mbit/s for a time, the slowest link that users have.
-func (r *run) thinLink() string {
+// limitLink limits a random host's link to 10 Mbit/s for a time, the slowest link that users have.
+func (r *run) limitLink() string {
 	h, d := r.w.Hosts[r.randomHost()], r.faultDuration()
 	r.w.LimitLink(h, 10e6/8)
 	time.AfterFunc(d, func() { r.w.UnlimitLink(h) })
--- a/cmd/soak/report.go
+++ b/cmd/soak/report.go
@@ -17,10 +17,10 @@
 
 // plot returns one character for each second of a run, which shows the share of that second's requests that
 // were answered, or a blank if there were none.
-func plot(tallies []flows.CallerStats, began time.Time) string {
+func plot(stats []flows.CallerStats, began time.Time) string {
 	var asked, answered []int
-	for i := range tallies {
-		for _, o := range tallies[i].Outcomes {
+	for i := range stats {
+		for _, o := range stats[i].Outcomes {
 			s := int(o.At.Sub(began) / time.Second)
 			for len(asked) <= s {
 				asked, answered = append(asked, 0), append(answered, 0)
--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -32,8 +32,8 @@
 // Times of a run after its faults, and the share of requests that must be answered then.
 const (
 	// healWait is the time from the end of the injection until all requests must be served again. It covers
-	// the longest fault and the time until a crashed upstream's entry expires. The users' bound for a recovery is
-	// far longer.
+	// maxFault and the time until a crashed upstream's entry expires. The users' bound for a recovery is far longer.
+	// Evacuations may last longer, but requests are served during them.
 	healWait = maxFault + 5*time.Second
 	// checkPeriod is the time after healWait over which availability is measured, minAnsweredShare the share of
 	// requests that must be answered in it.
@@ -93,15 +93,15 @@
 		defer close(injected)
 		r.inject(work, c)
 	}()
-	tallies, err := r.w.RunCallers(work)
+	stats, err := r.w.RunCallers(work)
 	<-injected
 	if err != nil {
 		return nil, err
 	}
-	o := &outcome{broken: r.w.Violations(), plot: plot(tallies, r.began)}
+	o := &outcome{broken: r.w.Violations(), plot: plot(stats, r.began)}
 	var last []flows.Outcome
-	for i := range tallies {
-		t := &tallies[i]
+	for i := range stats {
+		t := &stats[i]
 		o.requests += t.Requests
 		o.answered += t.Answered
 		o.broken = append(o.broken, t.Violations...)
@@ -114,8 +114,8 @@
 	return o, nil
 }
 
-// afterHealing returns the outcomes of the requests of the last checkPeriod, when all faults had ended. It leaves
-// out unanswered requests of that period's last two seconds, which may have had too little time for an answer.
+// afterHealing returns the outcomes of the requests that started in the last checkPeriod, when all faults had ended. It
+// leaves out unanswered requests of the last two seconds, which may have had too little time for an answer.
 func afterHealing(t *flows.CallerStats) []flows.Outcome {
 	var out []flows.Outcome
 	since := time.Now().Add(-checkPeriod)
--- a/cmd/try/cookie.go
+++ b/cmd/try/cookie.go
@@ -54,22 +54,22 @@
 	work, end := context.WithTimeout(ctx, time.Duration(c.Seconds)*time.Second)
 	defer end()
 	startCookieFailures(work, failures, w, procs)
-	tallies, err := w.RunCallers(work)
+	stats, err := w.RunCallers(work)
 	if err != nil {
 		return err
 	}
-	return c.reportCookie(w, tallies)
+	return c.reportCookie(w, stats)
 }
 
 // reportCookie prints the results of the callers, and returns an error if a guarantee was violated.
-func (c *runCommand) reportCookie(w *world.World, tallies []flows.CallerStats) error {
+func (c *runCommand) reportCookie(w *world.World, stats []flows.CallerStats) error {
 	broken := w.Violations()
 	requests, answered, opened := 0, 0, 0
-	for i := range tallies {
-		requests += tallies[i].Requests
-		answered += tallies[i].Answered
-		opened += tallies[i].Opened
-		broken = append(broken, tallies[i].Violations...)
+	for i := range stats {
+		requests += stats[i].Requests
+		answered += stats[i].Answered
+		opened += stats[i].Opened
+		broken = append(broken, stats[i].Violations...)
 	}
 	fmt.Printf("%d balancers: %d of %d requests answered over %d flows, %d broken promises, %d calls of the store\n",
 		c.Balancers, answered, requests, opened, len(broken), w.Store.CallCount())
--- a/internal/standin/emulator/caller.go
+++ b/internal/standin/emulator/caller.go
@@ -30,7 +30,7 @@
 }
 
 // Times after a caller's first transmission: when it retransmits, and when it stops trying to
-// open a flow.
+// open a flow. It retransmits a request at openTimeout too.
 const (
 	firstRetransmit  = 200 * time.Millisecond
 	secondRetransmit = 600 * time.Millisecond
@@ -93,7 +93,7 @@
 	return time.Duration(d)
 }
 
-// request is what a caller wants, with all its tries.
+// request is one request of a caller, with all its tries.
 type request struct {
 	class *class
 	zone  *zone
@@ -127,11 +127,11 @@
 // progress.
 func (p *pool) takeIdle(callers int) *flow {
 	p.idle = slices.DeleteFunc(p.idle, func(f *flow) bool { return f.closed })
-	without := max(0, callers-p.size)
+	withoutFlow := max(0, callers-p.size)
 	if len(p.idle) == 0 {
 		return nil
 	}
-	i := p.rng.IntN(len(p.idle) + without)
+	i := p.rng.IntN(len(p.idle) + withoutFlow)
 	if i >= len(p.idle) {
 		return nil
 	}
@@ -179,7 +179,7 @@
 	sent, arrived, ended bool
 }
 
-// send sends the request on an open flow, and retransmits it until it is answered.
+// send sends the request on an open flow, and retransmits it up to three times while the try lasts.
 func (t *try) send(f *flow) {
 	t.flow, f.try, t.sent = f, t, true
 	seq := f.seq
--- a/internal/standin/emulator/emulator_test.go
+++ b/internal/standin/emulator/emulator_test.go
@@ -104,7 +104,7 @@
 
 // Guards against a loss of worth by poor placement after all hosts lose power and return without
 // state, when no host knows what the others place. A policy with perfect knowledge of all queues
-// couldn't serve much more, since most requests are lost while the hosts are down.
+// couldn't serve much more, since the losses occur while the hosts are down.
 func TestReturnOfAllCallersComesCloseToPerfectKnowledge(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -137,13 +137,13 @@
 	p := read(t, "wide")
 	p.Length = bundle.Duration(3 * time.Second)
 	p.Events = nil
-	play := func(name string) *emulator.Result {
+	run := func(name string) *emulator.Result {
 		r, err := emulator.Run(p, emulator.Options{Seed: 1, Policy: policy(t, name)})
 		g.Expect(err).NotTo(HaveOccurred())
 		return r
 	}
-	g.Expect(play("Present").Shed).To(BeZero())
-	g.Expect(play("LeastOfAll").Shed).To(BeNumerically(">", 100))
+	g.Expect(run("Present").Shed).To(BeZero())
+	g.Expect(run("LeastOfAll").Shed).To(BeNumerically(">", 100))
 }
 
 // Guards against a restart that costs more than a crash. Upstreams crash and start again before
--- a/internal/standin/emulator/fleet.go
+++ b/internal/standin/emulator/fleet.go
@@ -55,8 +55,12 @@
 	StoreReaders int
 }
 
-// Parameters of the model. Work is the processor time on a whole core. A host with a share of a
-// core, in thousandths, takes longer.
+// Parameters of the model. largeShare and smallShare are the hosts' shares of a core, in
+// thousandths. fleetDelay is the one-way delay between hosts, storeLatency the time until an answer
+// of the store arrives. Work is the processor time on a whole core; a host with a share of a core
+// takes longer. messageWork is for each message sent or received, callWork for each call,
+// storeEntryWork for each upstream in an answer of the store, and catalogEntryWork for each entry of
+// a list that another host sends.
 const (
 	largeShare       = 800
 	smallShare       = 61
@@ -194,10 +198,12 @@
 	})
 }
 
-// contactsAfter is when a host that knows no other member reads the contacts from the store.
+// contactsAfter is the time from a host's start until it reads the contacts from the store, if it
+// knows no other member by then.
 const contactsAfter = 700 * time.Millisecond
 
-// pingContacts pings the contacts that the store holds: the first host of each zone.
+// pingContacts reads the contacts from the store and pings them: the first host of each zone. It does
+// nothing if the host isn't ready or knows another member, or at a first start.
 func (h *fleetHost) pingContacts() {
 	if !h.ready || len(h.currentView().Members) > 1 || h.sim.fleet.FirstStart {
 		return
@@ -211,7 +217,7 @@
 	})
 }
 
-// advertisePeriod is how often the store reader advertises its content.
+// advertisePeriod is the interval at which a store reader advertises its content.
 const advertisePeriod = 500 * time.Millisecond
 
 // currentView returns the host's view of the members.
@@ -400,8 +406,8 @@
 	})
 }
 
-// advertise sends an advertisement of recent content to the members if the host is the store
-// reader.
+// advertise sends an advertisement to the members if the host is a store reader and its content is
+// at most one second old.
 func (h *fleetHost) advertise() {
 	if !h.ready || !h.readsStore() || h.sim.now-h.contentAsOf > time.Second {
 		return
--- a/internal/standin/emulator/server.go
+++ b/internal/standin/emulator/server.go
@@ -18,7 +18,7 @@
 	id      bundle.UpstreamID
 	address netip.AddrPort
 	// silent says that the upstream neither receives nor sends anything, deregistered that its
-	// registration was removed, draining that its flows close after their current request.
+	// registration was removed, draining that its flows close after their next answer.
 	silent, deregistered, draining bool
 	// incarnation is the number of starts so far, so that what was scheduled by an earlier one is
 	// discarded.
@@ -36,7 +36,7 @@
 
 // Times of a registration, as in the users' installations.
 const (
-	// registrationTTL is when the registration of an upstream that fell silent expires.
+	// registrationTTL is the time until the registration of an upstream that fell silent expires.
 	registrationTTL = 3600 * time.Millisecond
 	// drainDuration is how long a draining upstream continues to serve.
 	drainDuration = 4 * time.Second
--- a/internal/standin/flows/caller.go
+++ b/internal/standin/flows/caller.go
@@ -82,7 +82,7 @@
 }
 
 func (c *Caller) read() {
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, err := c.conn.Read(buf)
 		if eris.Is(err, net.ErrClosed) {
@@ -249,7 +249,7 @@
 }
 
 // exchange sends a request on the open flow, retransmits it until the deadline, and reports
-// whether it was answered. If it wasn't, the caller resets the flow.
+// whether it was answered. If the deadline passes without an answer, the caller resets the flow.
 func (c *Caller) exchange(began time.Time) bool {
 	id := RequestID(c.Rng.Uint64())
 	data := binary.BigEndian.AppendUint64(nil, uint64(id))
--- a/internal/standin/flows/router.go
+++ b/internal/standin/flows/router.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// InRotation returns the number of balancers whose readiness checks succeed.
+// InRotation returns the number of balancers in rotation by their readiness checks. It doesn't count those
+// that only get datagrams because fewer than half are in rotation.
 func (r *Router) InRotation() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/flows/segment.go
+++ b/internal/standin/flows/segment.go
@@ -30,13 +30,13 @@
 	DecodeAtUpstream(b []byte) (bundle.UpstreamID, *Segment, error)
 }
 
-// Retransmission of the two ends, and the largest datagram in bytes.
+// Times in milliseconds and the number of retransmissions for the two ends, and the size of a receive buffer.
 const (
 	retransmitMs       = 200
 	maxRetransmits     = 8
 	openTimeoutMs      = 1400
 	secondRetransmitMs = 600
-	maxDatagram        = 2048
+	maxDatagramBytes   = 2048
 )
 
 // RequestID identifies a request.
--- a/internal/standin/flows/upstream.go
+++ b/internal/standin/flows/upstream.go
@@ -152,7 +152,8 @@
 // OpenedAfter returns how many flows were opened after a time.
 func (u *Upstream) OpenedAfter(t time.Time) int { return u.OpenedBetween(t, time.Now()) }
 
-// OpenedBetween returns how many flows were opened after one time and not after another.
+// OpenedBetween returns how many flows were opened after one time and not after another. A flow is
+// opened when its caller's first valid segment after the SYN arrives.
 func (u *Upstream) OpenedBetween(from, until time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -166,7 +167,7 @@
 }
 
 func (u *Upstream) read() {
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, err := u.conn.Read(buf)
 		if eris.Is(err, net.ErrClosed) {
--- a/internal/standin/metadata/store.go
+++ b/internal/standin/metadata/store.go
@@ -314,7 +314,8 @@
 	return f
 }
 
-// write creates an object, or replaces one if the call names its present revision.
+// write creates an object, or replaces one if the call names its present revision. It answers 409 if the call names
+// another one, and 404 if a PUT names an object that doesn't exist.
 func (s *Store) write(w http.ResponseWriter, r *http.Request, kind string) {
 	var in wire.ObjectWrite
 	if err := json.UnmarshalRead(r.Body, &in); err != nil {
--- a/internal/standin/world/callers.go
+++ b/internal/standin/world/callers.go
@@ -14,22 +14,22 @@
 // callerRetries is how often callers retry an idempotent request.
 const callerRetries = 2
 
-// RunCallers lets all callers send requests until ctx ends and returns the tally of each.
+// RunCallers lets all callers send requests until ctx ends and returns the statistics of each.
 func (w *World) RunCallers(ctx context.Context) ([]flows.CallerStats, error) {
 	var wg sync.WaitGroup
-	tallies := make([]flows.CallerStats, w.opts.Callers)
-	for i := range tallies {
+	stats := make([]flows.CallerStats, w.opts.Callers)
+	for i := range stats {
 		c, stop, err := flows.NewCaller(w.callerOptions(i))
 		if err != nil {
 			return nil, err
 		}
 		wg.Go(func() {
 			defer stop()
-			tallies[i] = c.Run(ctx)
+			stats[i] = c.Run(ctx)
 		})
 	}
 	wg.Wait()
-	return tallies, nil
+	return stats, nil
 }
 
 func (w *World) callerOptions(i int) flows.CallerOptions {
--- a/internal/standin/world/process.go
+++ b/internal/standin/world/process.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Signal sends a signal to the process by its process id, unless Stop was called.
+// Signal sends a signal to the process by its process id. It does nothing after Stop was called.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -87,7 +87,7 @@
 
 	mu  sync.Mutex
 	rng *rand.Rand
-	// lastIndex numbers the upstreams that were added, for their addresses.
+	// lastIndex is the number of upstreams that AddUpstream has added. Upstreams get their addresses from it.
 	lastIndex int
 	upstreams []*Upstream
 	// removed are upstreams that were ended, former incarnations of restarted ones included.
