--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -33,7 +33,7 @@
 const (
 	// healWait is the time from the end of the injection until all requests must be served again. It covers
 	// maxFault and the time until a crashed upstream's entry expires. The users' bound for a recovery is far longer.
-	// An evacuation may last longer.
+	// An evacuation may last longer than healWait.
 	healWait = maxFault + 5*time.Second
 	// checkPeriod is the time after healWait over which availability is measured, minAnsweredShare the share of
 	// requests that must be answered in it.
