--- a/internal/standin/emulator/emulator_test.go
+++ b/internal/standin/emulator/emulator_test.go
@@ -142,13 +142,13 @@
 	p := read(t, "wide")
 	p.Length = bundle.Duration(3 * time.Second)
 	p.Events = nil
-	play := func(name string) *emulator.Result {
+	run := func(name string) *emulator.Result {
 		r, err := emulator.Run(p, emulator.Options{Seed: 1, Policy: policy(t, name)})
 		g.Expect(err).NotTo(HaveOccurred())
 		return r
 	}
-	g.Expect(play("Present").Shed).To(BeZero())
-	g.Expect(play("LeastOfAll").Shed).To(BeNumerically(">", 100))
+	g.Expect(run("Present").Shed).To(BeZero())
+	g.Expect(run("LeastOfAll").Shed).To(BeNumerically(">", 100))
 }
 
 // Guards against a restart that costs more than a crash. Upstreams crash and start again before
