--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -274,7 +274,7 @@
 		},
 		{
 			"cookie: the store", "watches", "one reader per cell; two kinds, 800 ms per watch",
-			fleetCells * 2 / 0.8, "calls/s", 6000, "calculated; the rate of the users' grown installations",
+			fleetCells * 2 / 0.8, "calls/s", 6000, "worked out; the rate of the users' grown installations",
 		},
 	}
 }
--- a/internal/process/capacity/rows.go
+++ b/internal/process/capacity/rows.go
@@ -129,7 +129,7 @@
 	return []Row{
 		{
 			"home, backup, replicas", "flow records", "owner and one replica in each of three zones",
-			flows, "records", 0, "calculated; 3 zones per cell assumed",
+			flows, "records", 0, "worked out; 3 zones per cell assumed",
 		},
 		{
 			"home, backup, replicas", "memory of records", "open addressing over chunks of 72-byte entries",
@@ -141,7 +141,7 @@
 		},
 		{
 			"home, backup, replicas", "records told after restarts and failures, mean", "paced sweeps; each flow of a changed member once",
-			moved * replicationBytes, "B/s", 0, "calculated: restarts and failures of a cell",
+			moved * replicationBytes, "B/s", 0, "worked out: restarts and failures of a cell",
 		},
 		{
 			"ingress and home", "processor time of packets, one packet a second and flow", "ranking and one lookup",
@@ -169,19 +169,19 @@
 		},
 		{
 			"platform", "watches", "two watchers per zone of a cell; long polls that end after 10 s",
-			fleetCells * watchersPerCell / 10.0, "calls/s", 2000, "calculated",
+			fleetCells * watchersPerCell / 10.0, "calls/s", 2000, "worked out",
 		},
 		{
 			"platform", "reads after a change that concerns all cells", "only watchers read; other members fetch bundles from peers",
-			fleetCells * watchersPerCell, "calls", 2000 * 7, "calculated: 7 s at 2000 reads per second",
+			fleetCells * watchersPerCell, "calls", 2000 * 7, "worked out: 7 s at 2000 reads per second",
 		},
 		{
 			"platform", "reads of the list of hosts", "each daemon once per minute when it knows other members",
-			fleetDaemons / 60.0, "calls/s", 2000, "calculated",
+			fleetDaemons / 60.0, "calls/s", 2000, "worked out",
 		},
 		{
 			"platform", "writes", "one for each change",
-			changesADay / daySeconds, "calls/s", 300, "calculated",
+			changesADay / daySeconds, "calls/s", 300, "worked out",
 		},
 	}
 }
--- a/internal/process/capacity/slope.go
+++ b/internal/process/capacity/slope.go
@@ -86,7 +86,7 @@
 	// Limit is zero if there is none.
 	Limit float64
 	// Basis says how Value was determined: "measured" or "fitted" with the names of slopes,
-	// "calculated" or "by design", and what was assumed for it.
+	// "worked out" or "by design", and what was assumed for it.
 	Basis string
 }
 
