--- a/internal/connection/caller/owner.go
+++ b/internal/connection/caller/owner.go
@@ -143,10 +143,10 @@
 // chooseUpstream returns an upstream for the flow other than not, or nil. It skips
 // zones in which no member is reachable, because their upstreams can't be reached
 // either.
-func (e *Engine) chooseUpstream(w *packetWork, not bundle.UpstreamID) *bundle.UpstreamRoute {
+func (e *Engine) chooseUpstream(w *packetWork, exclude bundle.UpstreamID) *bundle.UpstreamRoute {
 	candidates := make([]upstream.Candidate, 0, len(w.service.Upstreams))
 	for _, u := range w.service.Upstreams {
-		if u.ID == not || !w.view.CanReach(u.Zone) {
+		if u.ID == exclude || !w.view.CanReach(u.Zone) {
 			continue
 		}
 		candidates = append(candidates, upstream.Candidate{Route: u, Load: e.Loads.Load(u.ID)})
--- a/internal/connection/caller/replicate.go
+++ b/internal/connection/caller/replicate.go
@@ -85,22 +85,22 @@
 }
 
 // replace overwrites r with a committed record that another member sent.
-func (e *Engine) replace(r *Record, t remoteRecord, now Seconds) {
+func (e *Engine) replace(r *Record, remote remoteRecord, now Seconds) {
 	counted := r.Flags&RecordCounted != 0
 	e.uncount(r)
 	var flags RecordFlags
-	if t.placedAt == r.PlacedAt && r.State != StateEnded {
+	if remote.placedAt == r.PlacedAt && r.State != StateEnded {
 		// This is the placement that was proposed here. For an earlier placement there may
 		// be requests that this daemon doesn't know.
 		flags = r.Flags & (RecordLocal | RecordForwarded | RecordAnswered | RecordFinCaller | RecordFinUpstream)
 	}
-	if t.retried {
+	if remote.retried {
 		flags |= RecordRetried
 	}
-	if t.uncertain {
+	if remote.uncertain {
 		flags |= RecordUncertain
 	}
-	*r = Record{Upstream: t.upstream, State: StateCommitted, LastSeen: now, PlacedAt: t.placedAt, Flags: flags}
+	*r = Record{Upstream: remote.upstream, State: StateCommitted, LastSeen: now, PlacedAt: remote.placedAt, Flags: flags}
 	e.markValid(r)
 	if counted {
 		e.count(r)
--- a/internal/connection/cookie/probe.go
+++ b/internal/connection/cookie/probe.go
@@ -178,9 +178,9 @@
 // deregistered. As with ReportedDead, this balancer probes them itself, as soon as a packet names
 // one.
 func (e *Engine) LearnDeregisteredDead(upstreams []peer.DeregisteredUpstream, now time.Time) {
-	for _, g := range upstreams {
-		if e.upstreams[g.ID] == nil && g.Address.IsValid() {
-			e.addDeregistered(g.ID, g.Address, now).health = HealthSuspect
+	for _, d := range upstreams {
+		if e.upstreams[d.ID] == nil && d.Address.IsValid() {
+			e.addDeregistered(d.ID, d.Address, now).health = HealthSuspect
 		}
 	}
 }
--- a/internal/connection/cookie/warmup.go
+++ b/internal/connection/cookie/warmup.go
@@ -20,15 +20,15 @@
 
 // allows reports whether one more may be sent with at most n in any warmupWindow. It drops older
 // times.
-func (p *sendTimes) allows(n int, now time.Time) bool {
-	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= warmupWindow {
-		p.sent = p.sent[1:]
+func (s *sendTimes) allows(n int, now time.Time) bool {
+	for len(s.sent) > 0 && now.Sub(s.sent[0]) >= warmupWindow {
+		s.sent = s.sent[1:]
 	}
-	return len(p.sent) < n
+	return len(s.sent) < n
 }
 
 // add notes a flow that is sent now.
-func (p *sendTimes) add(now time.Time) { p.sent = append(p.sent, now) }
+func (s *sendTimes) add(now time.Time) { s.sent = append(s.sent, now) }
 
 // withinWarmupLimit reports whether an upstream may get a new flow from this balancer as far as its
 // warm-up is concerned. A slow upstream that gets more flows than it can handle answers none of
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -95,13 +95,13 @@
 	peers  map[ID]*peerState
 	// sortedIDs holds the keys of peers in ascending order, so that the same events and the same
 	// seed give the same messages. It is replaced, never changed in place.
-	sortedIDs []ID
-	lost      []lostMember
-	gossip    []gossipUpdate
-	probe     probe
-	relays    map[uint32]relay
-	seq       uint32
-	ticks     uint64
+	sortedIDs       []ID
+	lost            []lostMember
+	gossip          []gossipUpdate
+	probe           probe
+	delegatedProbes map[uint32]delegatedProbe
+	seq             uint32
+	ticks           uint64
 	// changedAt is when the set of members last changed, zero if it didn't within RecentWindow.
 	changedAt time.Time
 	// repeatsPossible is true for LostWindow after such a change.
@@ -130,13 +130,13 @@
 func NewMembership(cfg Config, self Member, rng *rand.Rand) *Membership {
 	self.State = StateAlive
 	return &Membership{
-		cfg:    cfg.withDefaults(),
-		rng:    rng,
-		self:   self,
-		peers:  make(map[ID]*peerState),
-		relays: make(map[uint32]relay),
-		seq:    rng.Uint32(),
-		epoch:  1,
+		cfg:             cfg.withDefaults(),
+		rng:             rng,
+		self:            self,
+		peers:           make(map[ID]*peerState),
+		delegatedProbes: make(map[uint32]delegatedProbe),
+		seq:             rng.Uint32(),
+		epoch:           1,
 	}
 }
 
@@ -228,9 +228,9 @@
 			m.forget(id)
 		}
 	}
-	for seq, r := range m.relays {
+	for seq, r := range m.delegatedProbes {
 		if now.Sub(r.sentAt) > 2*m.cfg.ProbeTimeout {
-			delete(m.relays, seq)
+			delete(m.delegatedProbes, seq)
 		}
 	}
 	for _, r := range m.peers {
@@ -276,7 +276,7 @@
 		out = append(out, m.acknowledge(from, msg, now))
 	case KindPingRequest:
 		e := m.ping(msg.Target)
-		m.relays[e.Message.Seq] = relay{to: from, seq: msg.Seq, sentAt: now}
+		m.delegatedProbes[e.Message.Seq] = delegatedProbe{to: from, seq: msg.Seq, sentAt: now}
 		out = append(out, e)
 	case KindAck:
 		out = append(out, m.handleAck(msg)...)
--- a/internal/connection/peer/probe.go
+++ b/internal/connection/peer/probe.go
@@ -14,8 +14,8 @@
 	indirect bool
 }
 
-// relay is a probe made on behalf of another member.
-type relay struct {
+// delegatedProbe is a probe made on behalf of another member.
+type delegatedProbe struct {
 	to     netip.AddrPort
 	seq    uint32
 	sentAt time.Time
@@ -111,11 +111,11 @@
 	if msg.Seq == m.probe.seq {
 		m.probe = probe{}
 	}
-	r, ok := m.relays[msg.Seq]
+	r, ok := m.delegatedProbes[msg.Seq]
 	if !ok {
 		return nil
 	}
-	delete(m.relays, msg.Seq)
+	delete(m.delegatedProbes, msg.Seq)
 	e := m.envelope(r.to, KindAck, r.seq)
 	e.Message.Target = msg.From.Control
 	e.Message.Updates = append([]Member{msg.From}, e.Message.Updates[:min(len(e.Message.Updates), m.cfg.Updates-1)]...)
--- a/internal/process/cookiedaemon/advertisement.go
+++ b/internal/process/cookiedaemon/advertisement.go
@@ -20,9 +20,9 @@
 // readers of other zones, if this daemon is a store reader.
 func (m *members) advertise(now time.Time) {
 	v := m.view.Load()
-	m.c.mu.Lock()
-	reads := m.c.followsStore(v.ReaderRank(), now)
-	m.c.mu.Unlock()
+	m.daemon.mu.Lock()
+	reads := m.daemon.followsStore(v.ReaderRank(), now)
+	m.daemon.mu.Unlock()
 	if reads {
 		m.sendAdvertisement(v.Self, append(v.Recipients(true), v.OtherZoneReaders()...), now)
 	}
@@ -36,105 +36,105 @@
 	if v.IsZoneReader() {
 		// An origin in the same zone stands in for this daemon and has sent the advertisement to
 		// the others.
-		if o := v.Member(origin); o != nil && o.Zone != m.c.cfg.Load().Zone {
+		if o := v.Member(origin); o != nil && o.Zone != m.daemon.cfg.Load().Zone {
 			m.sendAdvertisement(v.Self, v.Recipients(true), now)
 		}
 		return
 	}
-	if to := v.Recipients(false); origin != 0 && len(to) > 0 && m.c.shouldRelay() {
+	if to := v.Recipients(false); origin != 0 && len(to) > 0 && m.daemon.shouldRelay() {
 		m.sendAdvertisement(origin, to, now)
 	}
 }
 
 // shouldRelay reports whether this daemon holds more than it relayed before. If so, it records the
 // present state as relayed.
-func (c *Daemon) shouldRelay() bool {
-	version := c.inForce.Version()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	w := advertisementSummary{
-		bundle: version, asOf: c.state.catalog.AsOf, digest: c.state.catalog.Digest(), evacuated: c.state.evacuated.Stored.Digest(),
-		confirmed: c.state.confirmedAll(),
-	}
-	if !w.newer(c.lastRelayed) {
+func (d *Daemon) shouldRelay() bool {
+	version := d.inForce.Version()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	summary := advertisementSummary{
+		bundle: version, asOf: d.state.catalog.AsOf, digest: d.state.catalog.Digest(), evacuated: d.state.evacuated.Stored.Digest(),
+		confirmed: d.state.confirmedAll(),
+	}
+	if !summary.newer(d.lastRelayed) {
 		return false
 	}
-	c.lastRelayed = w
+	d.lastRelayed = summary
 	return true
 }
 
 // sendAdvertisement sends what this daemon holds of the store's content, unless that is older than
 // maxAdvertisedAge.
 func (m *members) sendAdvertisement(origin peer.ID, to []*peer.Member, now time.Time) {
-	c := m.c
-	c.mu.Lock()
-	confirmed := c.state.confirmedAll()
+	d := m.daemon
+	d.mu.Lock()
+	confirmed := d.state.confirmedAll()
 	if now.Sub(confirmed) > maxAdvertisedAge {
-		c.mu.Unlock()
+		d.mu.Unlock()
 		return
 	}
-	n := &peer.Advertisement{
+	a := &peer.Advertisement{
 		From:            origin,
 		Age:             now.Sub(confirmed),
-		SuspicionPeriod: c.state.catalog.RemovalSuspicion(now),
-		BundleAsOf:      c.state.bundleAsOf,
-		AsOf:            c.state.catalog.AsOf,
-		Digest:          c.state.catalog.Digest(),
-		Changes:         c.state.catalog.Recent(now.Add(-advertisedSpan), peer.MaxAdvertisedChanges),
-		Evacuated:       peer.NewAdvertisedZones(&c.state.evacuated.Stored),
-	}
-	c.mu.Unlock()
+		SuspicionPeriod: d.state.catalog.RemovalSuspicion(now),
+		BundleAsOf:      d.state.bundleAsOf,
+		AsOf:            d.state.catalog.AsOf,
+		Digest:          d.state.catalog.Digest(),
+		Changes:         d.state.catalog.Recent(now.Add(-advertisedSpan), peer.MaxAdvertisedChanges),
+		Evacuated:       peer.NewAdvertisedZones(&d.state.evacuated.Stored),
+	}
+	d.mu.Unlock()
 	// The version is read after the age, so that it isn't advertised as more recent than it is
 	// known to be.
-	n.Bundle = c.inForce.Version()
-	send(m, protocolAdvertisement, m.advertisements, n, to)
+	a.Bundle = d.inForce.Version()
+	send(m, protocolAdvertisement, m.advertisements, a, to)
 }
 
 // receiveAdvertisement applies what another daemon read in the store. If the changes don't lead to
 // the sender's state, the sender's catalog is fetched, and the advertisement doesn't count as
 // received.
-func (m *members) receiveAdvertisement(from netip.AddrPort, n *peer.Advertisement, now time.Time) {
+func (m *members) receiveAdvertisement(from netip.AddrPort, a *peer.Advertisement, now time.Time) {
 	v := m.view.Load()
-	if n.From == v.Self {
+	if a.From == v.Self {
 		return // This daemon's own advertisement, relayed back while members' views differ.
 	}
-	confirmed := now.Add(-n.Age)
-	c := m.c
-	version := c.inForce.Version()
-	c.mu.Lock()
-	if n.AsOf.Epoch() < c.state.epoch {
-		c.mu.Unlock()
+	confirmed := now.Add(-a.Age)
+	d := m.daemon
+	version := d.inForce.Version()
+	d.mu.Lock()
+	if a.AsOf.Epoch() < d.state.epoch {
+		d.mu.Unlock()
 		return // The sender doesn't know yet that the store was restored from a snapshot.
 	}
-	c.observeEpoch(n.AsOf, "News", now)
-	c.lastOrigin = n.From
-	c.state.catalog.SuspectRemovalsFor(n.SuspicionPeriod, now)
+	d.observeEpoch(a.AsOf, "News", now)
+	d.lastOrigin = a.From
+	d.state.catalog.SuspectRemovalsFor(a.SuspicionPeriod, now)
 	var resets []cookie.Reset
-	if c.state.catalog.ApplyIfComplete(n.Changes, n.AsOf, n.Digest, now) {
-		resets = c.updateEngine(now)
+	if d.state.catalog.ApplyIfComplete(a.Changes, a.AsOf, a.Digest, now) {
+		resets = d.updateEngine(now)
 	}
-	if n.Evacuated.Complete() {
-		c.applyEvacuations(n.Evacuated.Zones, contentSource{source: "News", name: from.String(), age: n.Age}, now)
+	if a.Evacuated.Complete() {
+		d.applyEvacuations(a.Evacuated.Zones, contentSource{source: "News", name: from.String(), age: a.Age}, now)
 	}
-	lacksBundle, lacksList := n.MissingFrom(version, c.state.catalog.AsOf, c.state.catalog.Digest())
-	lacksEvacuated := n.Evacuated.MissingFrom(&c.state.evacuated.Stored)
+	lacksBundle, lacksList := a.MissingFrom(version, d.state.catalog.AsOf, d.state.catalog.Digest())
+	lacksEvacuated := a.Evacuated.MissingFrom(&d.state.evacuated.Stored)
 	if !lacksList {
-		c.confirmList(confirmed)
+		d.confirmList(confirmed)
 	}
 	if !lacksEvacuated {
-		c.confirmEvacuations(confirmed)
+		d.confirmEvacuations(confirmed)
 	}
 	if !lacksList && !lacksBundle && !lacksEvacuated {
-		c.election.Received(confirmed, v.RanksBefore(n.From))
-		c.confirmBundleAt(confirmed, n.BundleAsOf)
+		d.election.Received(confirmed, v.RanksBefore(a.From))
+		d.confirmBundleAt(confirmed, a.BundleAsOf)
 	}
-	c.mu.Unlock()
-	c.data.resets(resets)
+	d.mu.Unlock()
+	d.data.resets(resets)
 	if lacksList || lacksBundle || lacksEvacuated {
-		m.pull(catalogAddress(v, from, n.From), lacksBundle || lacksEvacuated)
+		m.pull(catalogAddress(v, from, a.From), lacksBundle || lacksEvacuated)
 		return
 	}
-	m.relayAdvertisement(n.From, now)
+	m.relayAdvertisement(a.From, now)
 }
 
 // catalogAddress returns the RPC address of the daemon that sent an advertisement. Behind address
--- a/internal/process/cookiedaemon/bundle.go
+++ b/internal/process/cookiedaemon/bundle.go
@@ -13,43 +13,43 @@
 // bundlesPosition returns the position from which to watch the store's bundles, or zero if they
 // must be listed. A daemon that takes over from a failed reader holds the bundle already: on a slow
 // link, listing it takes longer than the take-over may.
-func (c *Daemon) bundlesPosition() objects.Position {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.canPlaceFlowsLocked() {
+func (d *Daemon) bundlesPosition() objects.Position {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.canPlaceFlowsLocked() {
 		return 0
 	}
-	return c.state.bundleAsOf
+	return d.state.bundleAsOf
 }
 
-func (c *Daemon) listBundles(s objects.Snapshot[bundle.Accepted], now time.Time) {
+func (d *Daemon) listBundles(s objects.Snapshot[bundle.Accepted], now time.Time) {
 	for i := range s.Objects {
 		if s.Objects[i].Err == nil {
-			c.applyStoredBundle(&s.Objects[i])
+			d.applyStoredBundle(&s.Objects[i])
 		}
 	}
-	c.confirmBundle(now, s.AsOf)
+	d.confirmBundle(now, s.AsOf)
 }
 
-func (c *Daemon) changeBundles(ch objects.Changes[bundle.Accepted], now time.Time) {
+func (d *Daemon) changeBundles(ch objects.Changes[bundle.Accepted], now time.Time) {
 	for i := range ch.List {
 		if !ch.List[i].Deleted && ch.List[i].Object.Err == nil {
-			c.applyStoredBundle(&ch.List[i].Object)
+			d.applyStoredBundle(&ch.List[i].Object)
 		}
 	}
-	c.confirmBundle(now, ch.AsOf)
+	d.confirmBundle(now, ch.AsOf)
 }
 
-func (c *Daemon) applyStoredBundle(o *objects.Object[bundle.Accepted]) {
+func (d *Daemon) applyStoredBundle(o *objects.Object[bundle.Accepted]) {
 	from := contentSource{source: "Store", name: o.Name}
-	c.applyBundle(o.Value.Version, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
+	d.applyBundle(o.Value.Version, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		return o.Value, updateFrom(now, o.Value), nil
 	})
 }
 
 // applyUpdate puts a bundle in force that another daemon sent as an update from an earlier bundle.
-func (c *Daemon) applyUpdate(u *bundle.Update, from contentSource) {
-	c.applyBundle(u.To, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
+func (d *Daemon) applyUpdate(u *bundle.Update, from contentSource) {
+	d.applyBundle(u.To, from, func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error) {
 		a, err := u.Apply(now)
 		if err != nil || u.From != 0 {
 			return a, u, err
@@ -75,25 +75,25 @@
 
 // applyBundle puts a bundle in force if it is newer than the present one. next builds it from the
 // present one, and returns with it the update that leads there, or nil if there was no bundle.
-func (c *Daemon) applyBundle(
+func (d *Daemon) applyBundle(
 	v bundle.Version, from contentSource, next func(now bundle.Accepted) (bundle.Accepted, *bundle.Update, error),
 ) {
 	routes, changed := 0, 0
-	taken, err := c.inForce.ApplyIfNewer(v, func() error {
-		a, step, err := next(c.bundleInForce())
+	taken, err := d.inForce.ApplyIfNewer(v, func() error {
+		a, step, err := next(d.bundleInForce())
 		if err != nil {
 			return err
 		}
-		if err := a.Bundle.CheckRegions(c.cfg.Load().KnownRegions()); err != nil {
+		if err := a.Bundle.CheckRegions(d.cfg.Load().KnownRegions()); err != nil {
 			return err
 		}
 		routing := bundle.NewRouting(a.Version, a.Bundle, nil)
-		c.mu.Lock()
-		c.state.history.Add(a, step)
-		resets := c.engine.SetRouting(routing, time.Now())
-		c.signalIfReady()
-		c.mu.Unlock()
-		c.data.resets(resets)
+		d.mu.Lock()
+		d.state.history.Add(a, step)
+		resets := d.engine.SetRouting(routing, time.Now())
+		d.signalIfReady()
+		d.mu.Unlock()
+		d.data.resets(resets)
 		routes = len(a.Bundle.Routes)
 		if step != nil {
 			changed = step.Size()
@@ -101,10 +101,10 @@
 		return nil
 	})
 	if err != nil {
-		c.refuseBundle(v, from, err)
+		d.refuseBundle(v, from, err)
 		return
 	}
-	c.setNeedsWholeBundle(false) // The received bundle or a newer one is in force.
+	d.setNeedsWholeBundle(false) // The received bundle or a newer one is in force.
 	if taken {
 		klog.InfoS("Bundle in force", "Version", v, "Source", from.source, "Name", from.name, "Age", from.age,
 			"Routes", routes, "Changed", changed)
@@ -115,40 +115,40 @@
 // bundle in force, the whole bundle is requested next: this daemon then holds a different bundle
 // under the version number that the update starts from, as after the store was restored from a
 // copy, and no later update would ever apply.
-func (c *Daemon) refuseBundle(v bundle.Version, from contentSource, err error) {
+func (d *Daemon) refuseBundle(v bundle.Version, from contentSource, err error) {
 	klog.ErrorS(err, "Bundle refused", "Version", v, "Source", from.source, "Name", from.name)
 	if eris.Is(err, bundle.ErrUpdateMismatch) {
-		c.setNeedsWholeBundle(true)
+		d.setNeedsWholeBundle(true)
 	}
 }
 
-func (c *Daemon) setNeedsWholeBundle(needed bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.state.needsWholeBundle = needed
+func (d *Daemon) setNeedsWholeBundle(needed bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.state.needsWholeBundle = needed
 }
 
 // bundleInForce returns the bundle in force, or the zero value if there is none.
-func (c *Daemon) bundleInForce() bundle.Accepted {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state.history.Current()
+func (d *Daemon) bundleInForce() bundle.Accepted {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.state.history.Current()
 }
 
 // confirmBundle records that this daemon itself has read which bundle is the newest, as of a
 // position.
-func (c *Daemon) confirmBundle(at time.Time, asOf objects.Position) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if asOf >= c.state.bundleAsOf {
-		c.confirmBundleAt(at, asOf)
+func (d *Daemon) confirmBundle(at time.Time, asOf objects.Position) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if asOf >= d.state.bundleAsOf {
+		d.confirmBundleAt(at, asOf)
 	}
-	c.noteOwnRead()
+	d.noteOwnRead()
 }
 
 // confirmBundleAt records the time and position as of which the bundle in force is known to be the
-// newest. c.mu must be held.
-func (c *Daemon) confirmBundleAt(at time.Time, asOf objects.Position) {
-	c.state.confirm(kindBundles, at)
-	c.state.bundleAsOf = max(c.state.bundleAsOf, asOf)
+// newest. d.mu must be held.
+func (d *Daemon) confirmBundleAt(at time.Time, asOf objects.Position) {
+	d.state.confirm(kindBundles, at)
+	d.state.bundleAsOf = max(d.state.bundleAsOf, asOf)
 }
--- a/internal/process/cookiedaemon/catalog.go
+++ b/internal/process/cookiedaemon/catalog.go
@@ -60,16 +60,16 @@
 // members, and deregistered upstreams. timeout bounds the time until the answer begins.
 func (m *members) fetch(from netip.AddrPort, timeout time.Duration) error {
 	sent := time.Now()
-	c := m.c
-	c.mu.Lock()
-	params := peer.CatalogParams{AsOf: c.state.catalog.AsOf, Digest: c.state.catalog.Digest(), Whole: c.state.needsWholeList}
-	if !c.state.needsWholeBundle {
-		params.Version = c.state.history.Current().Version
+	d := m.daemon
+	d.mu.Lock()
+	params := peer.CatalogParams{AsOf: d.state.catalog.AsOf, Digest: d.state.catalog.Digest(), Whole: d.state.needsWholeList}
+	if !d.state.needsWholeBundle {
+		params.Version = d.state.history.Current().Version
 	}
-	c.mu.Unlock()
-	params.Joining = sent.Sub(c.started) < JoinDuration
-	if !c.start.ready.isSet() {
-		params.Zone = c.cfg.Load().Zone
+	d.mu.Unlock()
+	params.Joining = sent.Sub(d.started) < JoinDuration
+	if !d.start.ready.isSet() {
+		params.Zone = d.cfg.Load().Zone
 	}
 	m.mu.Lock()
 	params.MembersDigest = m.membership.Digest()
@@ -88,13 +88,13 @@
 		if err != nil {
 			return err
 		}
-		c.applyUpdate(u, contentSource{source: "Peer", name: from.String(), age: got.Age})
+		d.applyUpdate(u, contentSource{source: "Peer", name: from.String(), age: got.Age})
 	}
-	c.data.resets(c.applyCatalog(got, sent.Add(-got.Age), now))
+	d.data.resets(d.applyCatalog(got, sent.Add(-got.Age), now))
 	m.advertise(now)
-	c.mu.Lock()
-	origin := c.lastOrigin
-	c.mu.Unlock()
+	d.mu.Lock()
+	origin := d.lastOrigin
+	d.mu.Unlock()
 	m.relayAdvertisement(origin, now)
 	return nil
 }
@@ -131,59 +131,59 @@
 
 // applyCatalog applies a catalog that another daemon held as of the time confirmed. It returns
 // resets for the flows that end by it.
-func (c *Daemon) applyCatalog(got *peer.Catalog, confirmed, now time.Time) []cookie.Reset {
-	version := c.inForce.Version()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.engine.LearnDeregisteredDead(got.Deregistered, now)
-	if got.AsOf.Epoch() < c.state.epoch {
+func (d *Daemon) applyCatalog(got *peer.Catalog, confirmed, now time.Time) []cookie.Reset {
+	version := d.inForce.Version()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.engine.LearnDeregisteredDead(got.Deregistered, now)
+	if got.AsOf.Epoch() < d.state.epoch {
 		return nil // The sender's content predates the restore of the store.
 	}
-	c.observeEpoch(got.AsOf, "Peer", now)
+	d.observeEpoch(got.AsOf, "Peer", now)
 	if got.Complete {
-		c.applyEvacuations(got.Evacuated, contentSource{source: "Peer", age: now.Sub(confirmed)}, now)
-		c.confirmEvacuations(confirmed)
+		d.applyEvacuations(got.Evacuated, contentSource{source: "Peer", age: now.Sub(confirmed)}, now)
+		d.confirmEvacuations(confirmed)
 	}
 	if got.Complete && got.Version <= version {
-		c.confirmBundleAt(confirmed, got.BundleAsOf)
+		d.confirmBundleAt(confirmed, got.BundleAsOf)
 	}
-	if got.AsOf < c.state.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
-		return c.applyHeld(&got.Held, now)
+	if got.AsOf < d.state.catalog.AsOf || !got.HasRegistrations && !got.HasChanges {
+		return d.applyHeld(&got.Held, now)
 	}
-	c.state.catalog.SuspectRemovalsFor(got.SuspicionPeriod, now)
-	changed := c.changeCatalog(func() bool {
+	d.state.catalog.SuspectRemovalsFor(got.SuspicionPeriod, now)
+	changed := d.changeCatalog(func() bool {
 		if got.HasRegistrations {
-			return c.state.catalog.Replace(got.Registrations, got.AsOf, now)
+			return d.state.catalog.Replace(got.Registrations, got.AsOf, now)
 		}
-		return c.state.catalog.Apply(got.Changes, got.AsOf, now)
+		return d.state.catalog.Apply(got.Changes, got.AsOf, now)
 	})
 	var resets []cookie.Reset
 	if changed {
-		resets = c.updateEngine(now)
+		resets = d.updateEngine(now)
 	}
-	resets = append(resets, c.applyHeld(&got.Held, now)...)
+	resets = append(resets, d.applyHeld(&got.Held, now)...)
 	// The changes may not lead to the sender's list, if only one of the two has some entries of the
 	// same revision. Then the whole list is requested next.
-	c.state.needsWholeList = got.HasChanges && got.Digest != c.state.catalog.Digest()
-	if c.state.needsWholeList {
+	d.state.needsWholeList = got.HasChanges && got.Digest != d.state.catalog.Digest()
+	if d.state.needsWholeList {
 		return resets
 	}
-	c.confirmList(confirmed)
+	d.confirmList(confirmed)
 	if got.Complete && got.Version <= version {
-		c.election.Received(confirmed, false)
+		d.election.Received(confirmed, false)
 	}
 	return resets
 }
 
 // applyHeld takes over the upstreams and zones that another daemon holds in place of the
-// store's content. It returns resets for the flows that end by it. c.mu must be held.
-func (c *Daemon) applyHeld(h *peer.HeldContent, now time.Time) []cookie.Reset {
-	before := c.state.evacuated.Zones()
-	if c.state.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
-		c.enforceEvacuations(before, contentSource{source: "Peer"}, now)
+// store's content. It returns resets for the flows that end by it. d.mu must be held.
+func (d *Daemon) applyHeld(h *peer.HeldContent, now time.Time) []cookie.Reset {
+	before := d.state.evacuated.Zones()
+	if d.state.evacuated.HoldZones(h.Zones, h.ZonesFor, now) {
+		d.enforceEvacuations(before, contentSource{source: "Peer"}, now)
 	}
-	if c.state.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
-		return c.updateEngine(now)
+	if d.state.catalog.HoldEntries(h.Upstreams, h.UpstreamsFor, now) {
+		return d.updateEngine(now)
 	}
 	return nil
 }
@@ -206,7 +206,7 @@
 			return nil, &jsonrpc2.Error{Code: codeBusy, Message: "others are told already"}
 		}
 	}
-	out, update := m.c.catalogFor(params)
+	out, update := m.daemon.catalogFor(params)
 	if params.Joining {
 		out.Members = m.membersFor(&params)
 	}
@@ -235,45 +235,45 @@
 
 // catalogFor returns what this daemon holds and the requester lacks, and the update from the
 // requester's bundle to the bundle in force, or nil if the requester has that already. The caller
-// packs the update after c.mu is released: packing takes too long for packets to wait.
-func (c *Daemon) catalogFor(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
+// packs the update after d.mu is released: packing takes too long for packets to wait.
+func (d *Daemon) catalogFor(params peer.CatalogParams) (*peer.Catalog, *bundle.Update) {
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	out := &peer.Catalog{
-		Version: c.state.history.Current().Version, BundleAsOf: c.state.bundleAsOf, Evacuated: c.state.evacuated.Stored,
+		Version: d.state.history.Current().Version, BundleAsOf: d.state.bundleAsOf, Evacuated: d.state.evacuated.Stored,
 	}
 	var update *bundle.Update
 	if out.Version > params.Version {
-		update = c.state.history.Since(params.Version)
+		update = d.state.history.Since(params.Version)
 	}
 	if params.Joining {
-		out.Deregistered = c.engine.DeregisteredDead()
+		out.Deregistered = d.engine.DeregisteredDead()
 	}
-	out.AsOf, out.Digest = c.state.catalog.AsOf, c.state.catalog.Digest()
-	out.SuspicionPeriod = c.state.catalog.RemovalSuspicion(now)
-	confirmed := c.state.confirmedAll()
+	out.AsOf, out.Digest = d.state.catalog.AsOf, d.state.catalog.Digest()
+	out.SuspicionPeriod = d.state.catalog.RemovalSuspicion(now)
+	confirmed := d.state.confirmedAll()
 	if confirmed.IsZero() {
 		return out, update
 	}
 	out.Complete, out.Age = true, now.Sub(confirmed)
 	if params.Joining {
-		out.Held.Upstreams, out.Held.UpstreamsFor = c.state.catalog.HeldEntries(now)
-		out.Held.Zones, out.Held.ZonesFor = c.state.evacuated.HeldZones(now)
-		out.Changes = c.state.catalog.LastKnown()
+		out.Held.Upstreams, out.Held.UpstreamsFor = d.state.catalog.HeldEntries(now)
+		out.Held.Zones, out.Held.ZonesFor = d.state.evacuated.HeldZones(now)
+		out.Changes = d.state.catalog.LastKnown()
 		out.HasChanges = len(out.Changes) > 0
 	}
-	if params.AsOf == out.AsOf && params.Digest == c.state.catalog.Digest() || params.AsOf > out.AsOf {
+	if params.AsOf == out.AsOf && params.Digest == d.state.catalog.Digest() || params.AsOf > out.AsOf {
 		return out, update
 	}
 	out.HasChanges = false
 	if !params.Whole {
-		changes, ok := c.state.catalog.Since(params.AsOf)
+		changes, ok := d.state.catalog.Since(params.AsOf)
 		out.Changes, out.HasChanges = append(out.Changes, changes...), ok
 	}
 	if !out.HasChanges {
 		out.HasRegistrations = true
-		out.Registrations = c.state.catalog.List()
+		out.Registrations = d.state.catalog.List()
 	}
 	return out, update
 }
--- a/internal/process/cookiedaemon/command.go
+++ b/internal/process/cookiedaemon/command.go
@@ -64,16 +64,16 @@
 	return nil
 }
 
-// signalsAfter bounds how long a daemon that isn't ready leaves signals to their default action,
+// maxSignalDelay bounds how long a daemon that isn't ready leaves signals to their default action,
 // which ends the process. Until it is ready it has nothing to drain, and registering signal
 // handlers with Go's runtime costs a small host milliseconds while callers wait.
-const signalsAfter = 250 * time.Millisecond
+const maxSignalDelay = 250 * time.Millisecond
 
-// awaitStart waits until the daemon is ready, but at most signalsAfter.
-func (c *Daemon) awaitStart(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, signalsAfter)
+// awaitStart waits until the daemon is ready, but at most maxSignalDelay.
+func (d *Daemon) awaitStart(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxSignalDelay)
 	defer cancel()
-	_ = c.awaitReady(ctx)
+	_ = d.awaitReady(ctx)
 }
 
 // watchSettings rereads the settings file on SIGHUP and every settingsPeriod until ctx ends. A file
--- a/internal/process/cookiedaemon/contacts.go
+++ b/internal/process/cookiedaemon/contacts.go
@@ -31,7 +31,7 @@
 // contacts maintains the object in the store by which daemons find each other when their seeds are
 // out of date: the seeds name three hosts that existed when the settings were written.
 type contacts struct {
-	c      *Daemon
+	daemon *Daemon
 	object objects.SingleObject[peer.Contacts]
 	// latest is the object as read last. latestAt is the time at which it was read, epoch the epoch
 	// of the store then.
@@ -40,13 +40,13 @@
 	epoch    objects.Epoch
 }
 
-func (c *Daemon) startContacts(ctx context.Context) (func(), error) {
+func (d *Daemon) startContacts(ctx context.Context) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
-	k := &contacts{c: c, object: c.platform.Contacts}
+	c := &contacts{daemon: d, object: d.platform.Contacts}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		k.run(ctx)
+		c.run(ctx)
 	}()
 	return func() {
 		cancel()
@@ -54,9 +54,9 @@
 	}, nil
 }
 
-func (k *contacts) run(ctx context.Context) {
+func (c *contacts) run(ctx context.Context) {
 	pause := aloneDelay
-	if k.c.start.FirstStart {
+	if c.daemon.start.FirstStart {
 		pause = firstStartAloneDelay
 	}
 	for {
@@ -65,11 +65,11 @@
 			return
 		}
 		switch {
-		case k.c.Members() == 1:
-			k.findMembers(ctx)
+		case c.daemon.Members() == 1:
+			c.findMembers(ctx)
 			pause = min(2*pause, maxAloneDelay)
-		case k.writes(time.Now()):
-			k.refresh(ctx)
+		case c.writes(time.Now()):
+			c.refresh(ctx)
 			pause = contactsCheckPeriod
 		default:
 			pause = contactsCheckPeriod
@@ -79,68 +79,68 @@
 
 // writes reports whether this daemon maintains the contacts now: it is the store reader of the
 // whole system, and started long enough ago to know the other daemons.
-func (k *contacts) writes(now time.Time) bool {
-	return now.Sub(k.c.started) > JoinDuration && k.c.members.view.Load().ReaderRank() == 0 && k.c.shouldReadStore(now)
+func (c *contacts) writes(now time.Time) bool {
+	return now.Sub(c.daemon.started) > JoinDuration && c.daemon.members.view.Load().ReaderRank() == 0 && c.daemon.shouldReadStore(now)
 }
 
 // findMembers contacts the daemons that the contacts in the store name, if there are any.
-func (k *contacts) findMembers(ctx context.Context) {
-	if err := k.read(ctx); err != nil {
+func (c *contacts) findMembers(ctx context.Context) {
+	if err := c.read(ctx); err != nil {
 		klog.InfoS("No contacts in the store", "Error", err.Error())
 		return
 	}
-	k.ping()
+	c.ping()
 }
 
 // read fetches the contacts. It returns objects.ErrNotFound if the store has none, which refresh
 // doesn't treat as a failure. Contacts that can't be decoded count as empty, so that the daemon that
 // maintains them replaces them.
-func (k *contacts) read(ctx context.Context) error {
-	o, err := k.object.Get(ctx)
+func (c *contacts) read(ctx context.Context) error {
+	o, err := c.object.Get(ctx)
 	if err != nil {
 		return err
 	}
 	if o.Err != nil {
-		k.c.unusable.Add(1)
+		c.daemon.unusable.Add(1)
 		klog.ErrorS(o.Err, "Contacts can't be used", "Revision", o.Revision)
 	}
-	k.latest, k.latestAt = o, time.Now()
+	c.latest, c.latestAt = o, time.Now()
 	return nil
 }
 
 // ping contacts the named daemons that aren't members.
-func (k *contacts) ping() {
-	k.c.members.update(func(g *peer.Membership) []peer.Envelope { return g.Seed(k.latest.Value.Addresses()) })
+func (c *contacts) ping() {
+	c.daemon.members.update(func(g *peer.Membership) []peer.Envelope { return g.Seed(c.latest.Value.Addresses()) })
 }
 
 // refresh replaces the contacts in the store if they are out of date.
-func (k *contacts) refresh(ctx context.Context) {
-	if epoch := k.c.storeEpoch(); epoch != k.epoch {
+func (c *contacts) refresh(ctx context.Context) {
+	if epoch := c.daemon.storeEpoch(); epoch != c.epoch {
 		// The contacts may be lost with the writes since the snapshot.
-		k.latestAt, k.epoch = time.Time{}, epoch
+		c.latestAt, c.epoch = time.Time{}, epoch
 	}
-	if k.latestAt.IsZero() || time.Since(k.latestAt) > contactsReadPeriod {
-		switch err := k.read(ctx); {
+	if c.latestAt.IsZero() || time.Since(c.latestAt) > contactsReadPeriod {
+		switch err := c.read(ctx); {
 		case eris.Is(err, objects.ErrNotFound):
-			k.latest = objects.Object[peer.Contacts]{}
+			c.latest = objects.Object[peer.Contacts]{}
 		case err != nil:
 			klog.InfoS("Contacts not read", "Error", err.Error())
 			return
 		}
-		k.latestAt = time.Now()
-		k.ping()
+		c.latestAt = time.Now()
+		c.ping()
 	}
-	v := k.c.members.view.Load()
-	if !v.ContactsOutdated(&k.latest.Value) {
+	v := c.daemon.members.view.Load()
+	if !v.ContactsOutdated(&c.latest.Value) {
 		return
 	}
-	next := v.Contacts(&k.latest.Value)
-	if err := k.object.Put(ctx, next, k.latest.Revision); err != nil {
-		klog.InfoS("Contacts not replaced", "Revision", k.latest.Revision, "Error", err.Error())
+	next := v.Contacts(&c.latest.Value)
+	if err := c.object.Put(ctx, next, c.latest.Revision); err != nil {
+		klog.InfoS("Contacts not replaced", "Revision", c.latest.Revision, "Error", err.Error())
 	} else {
-		klog.InfoS("Contacts replaced", "Members", len(next.Members), "Revision", k.latest.Revision)
+		klog.InfoS("Contacts replaced", "Members", len(next.Members), "Revision", c.latest.Revision)
 	}
 	// The write may have taken effect without an answer, or another daemon may have written: the
 	// next check reads the contacts again.
-	k.latestAt = time.Time{}
+	c.latestAt = time.Time{}
 }
--- a/internal/process/cookiedaemon/daemon.go
+++ b/internal/process/cookiedaemon/daemon.go
@@ -70,39 +70,39 @@
 // New opens the sockets of a daemon and starts its parts. The returned clean-up function stops them
 // immediately; call Leave before it for a graceful shutdown.
 func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Daemon, func(), error) {
-	c := &Daemon{
+	d := &Daemon{
 		platform: p,
 		pauses:   timer.NewPauseDetector(pauseLimit),
 		logs:     newDecisionLog(cfg.LogsPerSecond),
 		started:  time.Now(),
 		state:    storeState{catalog: registry.NewCatalog()},
 	}
-	c.start = newStartup(c.started, cfg.FirstStart)
-	c.warmupLimiter = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), c.started.Add(JoinDuration))
-	c.engine = cookie.NewEngine(cookie.Options{
-		WarmupLimiter: c.warmupLimiter,
+	d.start = newStartup(d.started, cfg.FirstStart)
+	d.warmupLimiter = peer.NewWarmupLimiter(peer.IDOf(cfg.Name), d.started.Add(JoinDuration))
+	d.engine = cookie.NewEngine(cookie.Options{
+		WarmupLimiter: d.warmupLimiter,
 		Zone:          cfg.Zone,
 		Regions:       cfg.Regions,
 		Policy:        upstream.NewZoneAware(cfg.Zone, upstream.DefaultChoices),
 		FlowLifetime:  time.Duration(cfg.FlowLifetime),
-		OnAnswered:    func(took time.Duration) { c.answerSeconds.Update(took.Seconds()) },
+		OnAnswered:    func(took time.Duration) { d.answerSeconds.Update(took.Seconds()) },
 	})
-	c.cfg.Store(cfg)
+	d.cfg.Store(cfg)
 	cleanup, err := steps.Run(ctx,
-		c.startData, c.startProbes, c.startMembers, c.startStore, c.startContacts, c.startReadiness, c.startMetrics, c.startTimer)
+		d.startData, d.startProbes, d.startMembers, d.startStore, d.startContacts, d.startReadiness, d.startMetrics, d.startTimer)
 	if err != nil {
 		return nil, nil, err
 	}
 	klog.InfoS("Daemon started", "Name", cfg.Name, "Zone", cfg.Zone, "Data", cfg.DataAddress, "Store", cfg.Store)
-	return c, cleanup, nil
+	return d, cleanup, nil
 }
 
-func (c *Daemon) startTimer(context.Context) (func(), error) {
+func (d *Daemon) startTimer(context.Context) (func(), error) {
 	t, stop := timer.New()
-	t.Subscribe(tickPeriod, c.tick)
-	t.Subscribe(memberTickPeriod, c.members.tick)
-	t.Subscribe(sweepPeriod, c.sweep)
-	t.Subscribe(peer.StartupReportPeriod, c.sendLoadsEagerly)
+	t.Subscribe(tickPeriod, d.tick)
+	t.Subscribe(memberTickPeriod, d.members.tick)
+	t.Subscribe(sweepPeriod, d.sweep)
+	t.Subscribe(peer.StartupReportPeriod, d.sendLoadsEagerly)
 	return stop, nil
 }
 
@@ -120,37 +120,37 @@
 }
 
 // Ready reports whether routers should send packets to this daemon.
-func (c *Daemon) Ready() bool { return c.canPlaceFlows() && !c.leaving.Load() }
+func (d *Daemon) Ready() bool { return d.canPlaceFlows() && !d.leaving.Load() }
 
 // canPlaceFlows reports whether the daemon has the state that it needs to place flows.
-func (c *Daemon) canPlaceFlows() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.canPlaceFlowsLocked()
+func (d *Daemon) canPlaceFlows() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.canPlaceFlowsLocked()
 }
 
-// canPlaceFlowsLocked is canPlaceFlows for callers that hold c.mu. No flow is placed before the
+// canPlaceFlowsLocked is canPlaceFlows for callers that hold d.mu. No flow is placed before the
 // evacuated zones are known: the first flows could otherwise enter a zone that is being evacuated.
-func (c *Daemon) canPlaceFlowsLocked() bool {
-	return c.engine.Ready() && !c.state.confirmed[kindEvacuations].IsZero()
+func (d *Daemon) canPlaceFlowsLocked() bool {
+	return d.engine.Ready() && !d.state.confirmed[kindEvacuations].IsZero()
 }
 
-// signalIfReady sets the ready event once the daemon can place flows. c.mu must be held.
-func (c *Daemon) signalIfReady() {
-	if c.canPlaceFlowsLocked() {
-		c.start.ready.set()
+// signalIfReady sets the ready event once the daemon can place flows. d.mu must be held.
+func (d *Daemon) signalIfReady() {
+	if d.canPlaceFlowsLocked() {
+		d.start.ready.set()
 	}
 }
 
 // Version returns the version of the bundle in force, or zero.
-func (c *Daemon) Version() bundle.Version { return c.inForce.Version() }
+func (d *Daemon) Version() bundle.Version { return d.inForce.Version() }
 
 // Upstreams returns the number of registered upstreams in use.
-func (c *Daemon) Upstreams() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (d *Daemon) Upstreams() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	n := 0
-	for _, r := range c.state.catalog.InUse() {
+	for _, r := range d.state.catalog.InUse() {
 		if r.HasContent() {
 			n++
 		}
@@ -160,11 +160,11 @@
 
 // AvailableUpstreams returns the number of registered upstreams that may get new flows according to
 // their store entries.
-func (c *Daemon) AvailableUpstreams() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (d *Daemon) AvailableUpstreams() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	n := 0
-	for _, r := range c.state.catalog.InUse() {
+	for _, r := range d.state.catalog.InUse() {
 		if !r.Unusable && !r.Draining {
 			n++
 		}
@@ -173,85 +173,85 @@
 }
 
 // Members returns the number of known daemons, including this one.
-func (c *Daemon) Members() int { return len(c.members.view.Load().Members) }
+func (d *Daemon) Members() int { return len(d.members.view.Load().Members) }
 
 // ReadsStore reports whether the daemon currently reads the store.
-func (c *Daemon) ReadsStore() bool { return c.shouldReadStore(time.Now()) }
+func (d *Daemon) ReadsStore() bool { return d.shouldReadStore(time.Now()) }
 
 // tick runs every tickPeriod. It records that the process is running, expires the upstreams and
 // evacuations that are held in place of the store's content, and sends the probes that are due.
-func (c *Daemon) tick(now time.Time) {
-	c.pauses.Observe(now)
-	c.mu.Lock()
-	c.expireHeldUpstreams(now)
-	c.expireEvacuations(now)
-	due := c.engine.DueProbes(now)
-	c.mu.Unlock()
-	c.probes.send(due)
+func (d *Daemon) tick(now time.Time) {
+	d.pauses.Observe(now)
+	d.mu.Lock()
+	d.expireHeldUpstreams(now)
+	d.expireEvacuations(now)
+	due := d.engine.DueProbes(now)
+	d.mu.Unlock()
+	d.probes.send(due)
 }
 
 // sweep expires flows and sends this daemon's loads and advertisement.
-func (c *Daemon) sweep(now time.Time) {
-	c.mu.Lock()
-	c.warmupLimiter.Update(c.members.view.Load(), now)
-	c.engine.Expire(now)
-	c.mu.Unlock()
-	c.members.sendLoads(now)
-	c.members.advertise(now)
-	c.members.relayed.expire(now)
-	c.members.changes.logSummaries(c.Members(), now)
+func (d *Daemon) sweep(now time.Time) {
+	d.mu.Lock()
+	d.warmupLimiter.Update(d.members.view.Load(), now)
+	d.engine.Expire(now)
+	d.mu.Unlock()
+	d.members.sendLoads(now)
+	d.members.advertise(now)
+	d.members.relayed.expire(now)
+	d.members.changes.logSummaries(d.Members(), now)
 }
 
 // sendLoadsEagerly sends loads at a shorter period for a while after the start.
-func (c *Daemon) sendLoadsEagerly(now time.Time) {
-	if peer.UsesStartupReportPeriod(now.Sub(c.started)) {
-		c.members.sendLoads(now)
+func (d *Daemon) sendLoadsEagerly(now time.Time) {
+	if peer.UsesStartupReportPeriod(now.Sub(d.started)) {
+		d.members.sendLoads(now)
 	}
 }
 
 // Leave announces that the daemon leaves, and goes on forwarding until routers have stopped sending
 // packets to it.
-func (c *Daemon) Leave() {
+func (d *Daemon) Leave() {
 	began := time.Now()
-	c.departure.begin(began, c.cfg.Load().LingerLimit())
-	c.leaving.Store(true)
-	c.members.announceLeaving()
-	klog.InfoS("Leaving", "Flows", c.flows())
-	for now := began; !c.departure.mayEnd(now); now = time.Now() {
+	d.departure.begin(began, d.cfg.Load().LingerLimit())
+	d.leaving.Store(true)
+	d.members.announceLeaving()
+	klog.InfoS("Leaving", "Flows", d.flows())
+	for now := began; !d.departure.mayEnd(now); now = time.Now() {
 		time.Sleep(departurePoll)
 	}
-	c.members.announceLeft()
-	klog.InfoS("Left", "Flows", c.flows(), "After", time.Since(began))
+	d.members.announceLeft()
+	klog.InfoS("Left", "Flows", d.flows(), "After", time.Since(began))
 }
 
 // checkReady answers a readiness check, and counts the ones it refuses while leaving.
-func (c *Daemon) checkReady() bool {
-	if c.Ready() {
+func (d *Daemon) checkReady() bool {
+	if d.Ready() {
 		return true
 	}
-	c.departure.readinessRefused(time.Now())
+	d.departure.readinessRefused(time.Now())
 	return false
 }
 
-func (c *Daemon) flows() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.engine.Flows()
+func (d *Daemon) flows() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.engine.Flows()
 }
 
 // Reload puts changed settings in force. It refuses a change of the zone or of an address of an
 // open socket, which needs a restart.
-func (c *Daemon) Reload(cfg *settings.Cookie) {
-	old := c.cfg.Load()
+func (d *Daemon) Reload(cfg *settings.Cookie) {
+	old := d.cfg.Load()
 	if cfg.DataAddress != old.DataAddress || cfg.ControlAddress != old.ControlAddress || cfg.Zone != old.Zone {
 		klog.InfoS("Settings refused: addresses and zone need a restart", "Data", cfg.DataAddress, "Zone", cfg.Zone)
 		return
 	}
-	c.platform.Store.SetBase(cfg.Store)
-	c.members.setKeys(keys(cfg))
-	c.mu.Lock()
-	c.engine.SetRegions(cfg.Regions)
-	c.mu.Unlock()
-	c.cfg.Store(cfg)
+	d.platform.Store.SetBase(cfg.Store)
+	d.members.setKeys(keys(cfg))
+	d.mu.Lock()
+	d.engine.SetRegions(cfg.Regions)
+	d.mu.Unlock()
+	d.cfg.Store(cfg)
 	klog.InfoS("Settings in force", "Store", cfg.Store, "Seeds", cfg.Seeds)
 }
--- a/internal/process/cookiedaemon/data.go
+++ b/internal/process/cookiedaemon/data.go
@@ -16,9 +16,9 @@
 
 // data forwards callers' packets to upstreams.
 type data struct {
-	c    *Daemon
-	conn *net.UDPConn
-	wg   sync.WaitGroup
+	daemon *Daemon
+	conn   *net.UDPConn
+	wg     sync.WaitGroup
 	// resetBuf is used only by the goroutine that reads packets.
 	resetBuf []byte
 
@@ -36,26 +36,26 @@
 	maxFirstPacketWait = 200 * time.Millisecond
 )
 
-func (c *Daemon) startData(ctx context.Context) (func(), error) {
-	udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(c.cfg.Load().DataAddress))
+func (d *Daemon) startData(ctx context.Context) (func(), error) {
+	udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(d.cfg.Load().DataAddress))
 	if err != nil {
-		return nil, eris.Wrapf(err, "data: listen on %s", c.cfg.Load().DataAddress)
+		return nil, eris.Wrapf(err, "data: listen on %s", d.cfg.Load().DataAddress)
 	}
 	// A smaller buffer loses packets under bursts but has no other effect.
 	_ = udp.SetReadBuffer(socketBufferBytes)
-	c.data = &data{c: c, conn: udp}
-	c.data.wg.Go(func() { c.data.run(ctx) })
+	d.data = &data{daemon: d, conn: udp}
+	d.data.wg.Go(func() { d.data.run(ctx) })
 	return func() {
 		_ = udp.Close()
-		c.data.wg.Wait()
+		d.data.wg.Wait()
 	}, nil
 }
 
 // run reads packets until the socket is closed.
 func (d *data) run(ctx context.Context) {
 	buf := make([]byte, maxPacketBytes)
-	head := d.c.platform.Packets.Headroom()
-	pauses := d.c.pauses.Observe(time.Now())
+	head := d.daemon.platform.Packets.Headroom()
+	pauses := d.daemon.pauses.Observe(time.Now())
 	for {
 		n, err := d.conn.Read(buf[head:])
 		if eris.Is(err, net.ErrClosed) {
@@ -70,7 +70,7 @@
 			return
 		}
 		now := time.Now()
-		if seen := d.c.pauses.Observe(now); seen != pauses {
+		if seen := d.daemon.pauses.Observe(now); seen != pauses {
 			pauses, late = seen, true
 			d.paused(now)
 		}
@@ -85,22 +85,22 @@
 // records that callers are waiting. late reports whether the wait was longer than
 // maxFirstPacketWait, and ok is false if the daemon ends before.
 func (d *data) await(ctx context.Context) (late, ok bool) {
-	if d.c.start.ready.isSet() {
+	if d.daemon.start.ready.isSet() {
 		return false, true
 	}
 	arrived := time.Now()
-	d.c.start.callersWaiting.set()
-	if !d.c.awaitReady(ctx) {
+	d.daemon.start.callersWaiting.set()
+	if !d.daemon.awaitReady(ctx) {
 		return false, false
 	}
 	return time.Since(arrived) > maxFirstPacketWait, true
 }
 
 func (d *data) paused(now time.Time) {
-	d.c.mu.Lock()
-	d.c.engine.Paused(now)
-	d.c.mu.Unlock()
-	d.c.logs.paused()
+	d.daemon.mu.Lock()
+	d.daemon.engine.Paused(now)
+	d.daemon.mu.Unlock()
+	d.daemon.logs.paused()
 }
 
 // drainSocket handles the packets that waited in the socket while the process couldn't read it. It
@@ -112,7 +112,7 @@
 	if err != nil {
 		return // The socket was closed; the next read reports it.
 	}
-	head := d.c.platform.Packets.Headroom()
+	head := d.daemon.platform.Packets.Headroom()
 	for more := true; more; {
 		more = false
 		now := time.Now()
@@ -134,27 +134,27 @@
 // reports that it may have waited for long.
 func (d *data) handle(b []byte, now time.Time, waited bool) {
 	d.received.Add(1)
-	if d.c.leaving.Load() {
-		d.c.departure.received(now)
+	if d.daemon.leaving.Load() {
+		d.daemon.departure.received(now)
 	}
 	var p cookie.Packet
-	if d.c.platform.Packets.Decode(b[d.c.platform.Packets.Headroom():], &p) != nil {
-		d.c.drop(cookie.CauseMalformed)
+	if d.daemon.platform.Packets.Decode(b[d.daemon.platform.Packets.Headroom():], &p) != nil {
+		d.daemon.drop(cookie.CauseMalformed)
 		return
 	}
 	if waited && p.Flags == cookie.FlagSYN {
-		d.c.drop(cookie.CauseStaleOpen)
+		d.daemon.drop(cookie.CauseStaleOpen)
 		return
 	}
-	d.c.mu.Lock()
-	v := d.c.engine.Decide(&p, now)
-	in := d.c.inputs(now)
+	d.daemon.mu.Lock()
+	v := d.daemon.engine.Decide(&p, now)
+	in := d.daemon.inputs(now)
 	var to netip.AddrPort
 	if v.Action == cookie.ActionForward {
 		to = v.Upstream.Route.Address
-		d.c.platform.Packets.Forward(b, v.Upstream.Route.ID, v.Upstream.Cookie)
+		d.daemon.platform.Packets.Forward(b, v.Upstream.Route.ID, v.Upstream.Cookie)
 	}
-	d.c.mu.Unlock()
+	d.daemon.mu.Unlock()
 	switch v.Action {
 	case cookie.ActionForward:
 		d.write(b, to)
@@ -162,13 +162,13 @@
 		d.resetBuf = d.reset(d.resetBuf, &v.Reset)
 	case cookie.ActionDrop:
 	}
-	d.c.logs.decided(&p, &v, in, now)
+	d.daemon.logs.decided(&p, &v, in, now)
 }
 
 // reset sends a reset to its caller and returns the buffer for the next one.
 func (d *data) reset(buf []byte, r *cookie.Reset) []byte {
-	buf = d.c.platform.Packets.Reset(buf[:0], r)
-	to := netip.AddrPortFrom(r.Key.Caller().Addr(), d.c.cfg.Load().DataAddress.Port())
+	buf = d.daemon.platform.Packets.Reset(buf[:0], r)
+	to := netip.AddrPortFrom(r.Key.Caller().Addr(), d.daemon.cfg.Load().DataAddress.Port())
 	d.write(buf, to)
 	return buf
 }
@@ -179,13 +179,13 @@
 		return
 	}
 	now := time.Now()
-	d.c.mu.Lock()
-	in := d.c.inputs(now)
-	d.c.mu.Unlock()
+	d.daemon.mu.Lock()
+	in := d.daemon.inputs(now)
+	d.daemon.mu.Unlock()
 	var buf []byte
 	for i := range list {
 		buf = d.reset(buf, &list[i])
-		d.c.logs.reset(&list[i], in, now)
+		d.daemon.logs.reset(&list[i], in, now)
 	}
 }
 
@@ -197,13 +197,13 @@
 	d.sent.Add(1)
 }
 
-// inputs returns what decisions are based on now. c.mu must be held.
-func (c *Daemon) inputs(now time.Time) inputs {
-	return inputs{bundle: c.engine.Version(), listAge: now.Sub(c.state.confirmed[kindUpstreams])}
+// inputs returns what decisions are based on now. d.mu must be held.
+func (d *Daemon) inputs(now time.Time) inputs {
+	return inputs{bundle: d.engine.Version(), listAge: now.Sub(d.state.confirmed[kindUpstreams])}
 }
 
-func (c *Daemon) drop(cause cookie.Cause) {
-	c.mu.Lock()
-	c.engine.Counters.Dropped[cause]++
-	c.mu.Unlock()
+func (d *Daemon) drop(cause cookie.Cause) {
+	d.mu.Lock()
+	d.engine.Counters.Dropped[cause]++
+	d.mu.Unlock()
 }
--- a/internal/process/cookiedaemon/data_test.go
+++ b/internal/process/cookiedaemon/data_test.go
@@ -48,7 +48,7 @@
 		c.engine.ConfirmRegistrations(now)
 		c.state.confirm(kindEvacuations, now)
 		c.signalIfReady()
-		c.data = &data{c: c, conn: udp}
+		c.data = &data{daemon: c, conn: udp}
 		c.data.wg.Go(func() { c.data.run(context.Background()) })
 		DeferCleanup(func() {
 			_ = udp.Close()
--- a/internal/process/cookiedaemon/epoch.go
+++ b/internal/process/cookiedaemon/epoch.go
@@ -19,21 +19,21 @@
 const outdatedLines = 2
 
 // observeEpoch records the epoch of an answer of the store or of a message, and logs a later one
-// than was known. c.mu must be held.
-func (c *Daemon) observeEpoch(asOf objects.Position, source string, now time.Time) {
-	before := c.state.epoch
-	if c.state.observeEpoch(asOf.Epoch(), now) {
+// than was known. d.mu must be held.
+func (d *Daemon) observeEpoch(asOf objects.Position, source string, now time.Time) {
+	before := d.state.epoch
+	if d.state.observeEpoch(asOf.Epoch(), now) {
 		klog.InfoS("Store restored", "Epoch", asOf.Epoch(), "Before", before, "AsOf", asOf, "Source", source)
 	}
 }
 
 // changeCatalog runs change, which changes the catalog and reports whether it did. If the catalog
-// then holds the list of a restored store, changeCatalog logs the held entries. c.mu must be held.
-func (c *Daemon) changeCatalog(change func() bool) bool {
-	before := c.state.catalog.AsOf
+// then holds the list of a restored store, changeCatalog logs the held entries. d.mu must be held.
+func (d *Daemon) changeCatalog(change func() bool) bool {
+	before := d.state.catalog.AsOf
 	changed := change()
-	if now := c.state.catalog.AsOf; before != 0 && now.Epoch() != before.Epoch() {
-		older, missing := c.state.catalog.HeldCounts()
+	if now := d.state.catalog.AsOf; before != 0 && now.Epoch() != before.Epoch() {
+		older, missing := d.state.catalog.HeldCounts()
 		klog.InfoS("Upstreams of a restored store", "AsOf", now, "Before", before,
 			"HeldOverOlderEntry", older, "HeldThoughMissing", missing)
 	}
@@ -41,43 +41,43 @@
 }
 
 // expireHeldUpstreams releases upstreams that the store no longer has, or has with an older content,
-// once they have been held for long enough. c.mu must be held.
-func (c *Daemon) expireHeldUpstreams(now time.Time) {
-	older, missing := c.state.catalog.HeldCounts()
-	if !c.state.catalog.Expire(now) {
+// once they have been held for long enough. d.mu must be held.
+func (d *Daemon) expireHeldUpstreams(now time.Time) {
+	older, missing := d.state.catalog.HeldCounts()
+	if !d.state.catalog.Expire(now) {
 		return
 	}
-	if o, m := c.state.catalog.HeldCounts(); o < older {
+	if o, m := d.state.catalog.HeldCounts(); o < older {
 		klog.InfoS("Held upstreams released", "Upstreams", older-o, "MissingGone", missing-m)
 	}
 	// Entries that are removed now end no flow by themselves: their upstreams are probed first.
-	_ = c.updateEngine(now)
+	_ = d.updateEngine(now)
 }
 
 // storeEpoch returns the latest known epoch of the store.
-func (c *Daemon) storeEpoch() objects.Epoch {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state.epoch
+func (d *Daemon) storeEpoch() objects.Epoch {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.state.epoch
 }
 
 // positionOf returns the position as of which a kind is known.
-func (c *Daemon) positionOf(k kind) objects.Position {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state.position(k)
+func (d *Daemon) positionOf(k kind) objects.Position {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.state.position(k)
 }
 
 // checkAnswer returns ErrOutdated if the store answered as of an earlier position than was known
 // when the call began. Applying such an answer would confirm that nothing else has changed.
 func (f *follower[T]) checkAnswer(asOf, before objects.Position, now time.Time) error {
-	f.c.mu.Lock()
-	f.c.observeEpoch(asOf, "Store", now)
-	f.c.mu.Unlock()
+	f.daemon.mu.Lock()
+	f.daemon.observeEpoch(asOf, "Store", now)
+	f.daemon.mu.Unlock()
 	if asOf >= before {
 		return nil
 	}
-	f.c.outdatedAnswers[f.kind].Add(1)
+	f.daemon.outdatedAnswers[f.kind].Add(1)
 	if left, ok := f.outdatedLimiter.Allow(now); ok {
 		klog.InfoS("Store answer is outdated", "Kind", f.kind, "AsOf", asOf, "Known", before, "LeftOut", left)
 	}
--- a/internal/process/cookiedaemon/follower.go
+++ b/internal/process/cookiedaemon/follower.go
@@ -38,7 +38,7 @@
 // follower follows one kind of the store's objects.
 type follower[T any] struct {
 	objectHandler[T]
-	c           *Daemon
+	daemon      *Daemon
 	kind        kind
 	listWatcher objects.ListWatcher[T]
 	// failingSince is the time since which calls fail, or zero if they don't.
@@ -59,9 +59,9 @@
 	unusableLimiter, outdatedLimiter *logs.Limiter
 }
 
-func newFollower[T any](c *Daemon, k kind, feed objects.ListWatcher[T], in objectHandler[T]) *follower[T] {
+func newFollower[T any](d *Daemon, k kind, listWatcher objects.ListWatcher[T], handler objectHandler[T]) *follower[T] {
 	return &follower[T]{
-		objectHandler: in, c: c, kind: k, listWatcher: feed,
+		objectHandler: handler, daemon: d, kind: k, listWatcher: listWatcher,
 		unusableLimiter: logs.NewLimiter(unusableLines), outdatedLimiter: newOutdatedLimiter(),
 	}
 }
@@ -73,9 +73,9 @@
 	// history is no longer available.
 	failures, lostHistories := 0, 0
 	for ctx.Err() == nil {
-		if !f.c.shouldReadStore(time.Now()) {
+		if !f.daemon.shouldReadStore(time.Now()) {
 			asOf, f.listing, failures, lostHistories = 0, nil, 0, 0
-			f.c.awaitReadCheck(ctx)
+			f.daemon.awaitReadCheck(ctx)
 			continue
 		}
 		if asOf == 0 && f.position != nil && !f.fresh {
@@ -88,7 +88,7 @@
 			asOf, failures, lostHistories = next, 0, 0
 			f.stalls.RecordAnswered()
 			if changed {
-				f.c.members.advertise(time.Now())
+				f.daemon.members.advertise(time.Now())
 				sleep(ctx, batchPause)
 			}
 		case eris.Is(err, objects.ErrHistoryGone):
@@ -117,7 +117,7 @@
 
 // pause waits before the next call, by the number of consecutive failures.
 func (f *follower[T]) pause(ctx context.Context, failures int) {
-	sleep(ctx, peer.RetryPause(f.c.members.view.Load().ReaderRank(), failures, rand.Float64()))
+	sleep(ctx, peer.RetryPause(f.daemon.members.view.Load().ReaderRank(), failures, rand.Float64()))
 }
 
 // shouldRelist reports whether to replace a failed watch by a list: the watch would return too
@@ -129,9 +129,9 @@
 	if !eris.Is(err, transfer.ErrStalled) {
 		return false
 	}
-	f.c.mu.Lock()
-	defer f.c.mu.Unlock()
-	return f.stalls.RecordStalled(began, f.c.state.answeredAt)
+	f.daemon.mu.Lock()
+	defer f.daemon.mu.Unlock()
+	return f.stalls.RecordStalled(began, f.daemon.state.answeredAt)
 }
 
 // step lists or watches once and applies the result. It returns the position to go on from and
@@ -141,12 +141,12 @@
 	if asOf == 0 {
 		next, err := f.listAll(ctx)
 		if err == nil {
-			f.c.awaitOtherKind(ctx)
+			f.daemon.awaitOtherKind(ctx)
 		}
 		return next, err == nil, err
 	}
-	before := f.c.positionOf(f.kind)
-	ch, err := f.listWatcher.Watch(ctx, asOf, time.Duration(f.c.cfg.Load().WatchWait))
+	before := f.daemon.positionOf(f.kind)
+	ch, err := f.listWatcher.Watch(ctx, asOf, time.Duration(f.daemon.cfg.Load().WatchWait))
 	if err == nil {
 		err = f.checkAnswer(ch.AsOf, before, time.Now())
 	}
@@ -167,8 +167,8 @@
 // seconds.
 func (f *follower[T]) listAll(ctx context.Context) (objects.Position, error) {
 	if f.listing == nil {
-		f.starting = !f.c.start.ready.isSet()
-		f.positionBefore = f.c.positionOf(f.kind)
+		f.starting = !f.daemon.start.ready.isSet()
+		f.positionBefore = f.daemon.positionOf(f.kind)
 		f.listing = objects.NewListing[T](f.multiPage && !f.fresh && f.starting)
 	}
 	for !f.listing.Done() {
@@ -217,7 +217,7 @@
 func (f *follower[T]) page(ctx context.Context) (objects.Page[T], error) {
 	o := f.listing.Next()
 	if f.starting && f.position != nil {
-		o.AcceptSize = func(size int64) bool { return f.c.listStillNeeded(ctx, size) }
+		o.AcceptSize = func(size int64) bool { return f.daemon.listStillNeeded(ctx, size) }
 	}
 	return f.listWatcher.List(ctx, o)
 }
@@ -225,7 +225,7 @@
 // receivedMeanwhile reports whether a starting daemon has received a catalog from a member while it
 // was reading.
 func (f *follower[T]) receivedMeanwhile(ctx context.Context) bool {
-	return f.starting && f.position != nil && ctx.Err() == nil && f.c.start.ready.isSet()
+	return f.starting && f.position != nil && ctx.Err() == nil && f.daemon.start.ready.isSet()
 }
 
 // reportUnusable counts objects that can't be used and logs them, at most unusableLines a second:
@@ -255,7 +255,7 @@
 const unusableLines = 5
 
 func (f *follower[T]) unusable(err error) {
-	f.c.unusable.Add(1)
+	f.daemon.unusable.Add(1)
 	if left, ok := f.unusableLimiter.Allow(time.Now()); ok {
 		klog.ErrorS(err, "Stored object can't be used", "Kind", f.kind, "LeftOut", left)
 	}
@@ -264,11 +264,11 @@
 // noteFailure records a failed call and fetches the catalog of a member in another zone: this whole
 // zone may have lost the store while other zones reach it.
 func (f *follower[T]) noteFailure(err error) {
-	if to := f.c.members.memberInOtherZone(); to.IsValid() {
-		f.c.members.pull(to, false)
+	if to := f.daemon.members.memberInOtherZone(); to.IsValid() {
+		f.daemon.members.pull(to, false)
 	}
 	now := time.Now()
-	f.c.noteStoreFailure(now)
+	f.daemon.noteStoreFailure(now)
 	if f.failingSince.IsZero() {
 		f.failingSince = now
 		klog.ErrorS(err, "Store lost", "Kind", f.kind)
@@ -280,12 +280,12 @@
 // during the outage.
 func (f *follower[T]) noteAnswer() {
 	now := time.Now()
-	f.c.mu.Lock()
-	f.c.state.failedAt, f.c.state.answeredAt = time.Time{}, now
-	if last := f.c.state.confirmed[kindUpstreams]; !last.IsZero() && now.Sub(last) > outageAfter {
-		f.c.state.catalog.StoreRecovered(now)
+	f.daemon.mu.Lock()
+	f.daemon.state.failedAt, f.daemon.state.answeredAt = time.Time{}, now
+	if last := f.daemon.state.confirmed[kindUpstreams]; !last.IsZero() && now.Sub(last) > outageAfter {
+		f.daemon.state.catalog.StoreRecovered(now)
 	}
-	f.c.mu.Unlock()
+	f.daemon.mu.Unlock()
 	if !f.failingSince.IsZero() {
 		klog.InfoS("Store regained", "Kind", f.kind, "After", now.Sub(f.failingSince))
 		f.failingSince = time.Time{}
--- a/internal/process/cookiedaemon/follower_test.go
+++ b/internal/process/cookiedaemon/follower_test.go
@@ -36,7 +36,7 @@
 	g := NewWithT(t)
 	var listed objects.Position
 	f := &follower[int]{
-		c:           &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
+		daemon:      &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
 		listWatcher: &busyFeed{},
 		objectHandler: objectHandler[int]{
 			multiPage: true,
@@ -69,7 +69,7 @@
 			g := NewWithT(t)
 			feed := &holdingFeed{}
 			f := &follower[int]{
-				c:           &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
+				daemon:      &Daemon{start: newStartup(time.Now(), false), state: storeState{catalog: registry.NewCatalog()}},
 				listWatcher: feed,
 				objectHandler: objectHandler[int]{
 					list:    func(objects.Snapshot[int], time.Time) {},
@@ -80,7 +80,7 @@
 				f.position = func() objects.Position { return 0 }
 			}
 			if tc.ready {
-				f.c.start.ready.set()
+				f.daemon.start.ready.set()
 			}
 			_, err := f.listAll(t.Context())
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/process/cookiedaemon/http.go
+++ b/internal/process/cookiedaemon/http.go
@@ -20,23 +20,23 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-func (c *Daemon) startReadiness(ctx context.Context) (func(), error) {
-	return serveHTTP(ctx, c.cfg.Load().ReadinessAddress, c.platform.Readiness(c.checkReady))
+func (d *Daemon) startReadiness(ctx context.Context) (func(), error) {
+	return serveHTTP(ctx, d.cfg.Load().ReadinessAddress, d.platform.Readiness(d.checkReady))
 }
 
-func (c *Daemon) startMetrics(ctx context.Context) (func(), error) {
+func (d *Daemon) startMetrics(ctx context.Context) (func(), error) {
 	// The set is created by the first request for it: its fifty names take a small host some
 	// milliseconds, while callers wait for it to start.
-	set := sync.OnceValue(c.metricSet)
+	set := sync.OnceValue(d.metricSet)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		set().WritePrometheus(w)
-		c.writeHistograms(w)
-		c.writeRequests(w)
+		d.writeHistograms(w)
+		d.writeRequests(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	mux.Handle("GET "+status.Path, status.Handler(c.Status))
-	return serveHTTP(ctx, c.cfg.Load().MetricsAddress, mux)
+	mux.Handle("GET "+status.Path, status.Handler(d.Status))
+	return serveHTTP(ctx, d.cfg.Load().MetricsAddress, mux)
 }
 
 func serveHTTP(ctx context.Context, at netip.AddrPort, h http.Handler) (func(), error) {
@@ -51,57 +51,57 @@
 }
 
 // metricSet returns the metrics, named by Prometheus conventions.
-func (c *Daemon) metricSet() *metrics.Set {
+func (d *Daemon) metricSet() *metrics.Set {
 	s := metrics.NewSet()
 	count := func(name string, load func() uint64) {
 		s.NewGauge(name, func() float64 { return float64(load()) })
 	}
 	for cause := cookie.CauseNone; cause < cookie.NumCauses; cause++ {
-		c.countCause(count, "forwarded", cause, func(k *cookie.Counters) uint64 { return k.Forwarded[cause] })
-		c.countCause(count, "reset", cause, func(k *cookie.Counters) uint64 { return k.Reset[cause] })
-		c.countCause(count, "dropped", cause, func(k *cookie.Counters) uint64 { return k.Dropped[cause] })
+		d.countCause(count, "forwarded", cause, func(k *cookie.Counters) uint64 { return k.Forwarded[cause] })
+		d.countCause(count, "reset", cause, func(k *cookie.Counters) uint64 { return k.Reset[cause] })
+		d.countCause(count, "dropped", cause, func(k *cookie.Counters) uint64 { return k.Dropped[cause] })
 	}
-	count("fescueshed_packets_received_total", c.data.received.Load)
-	count("fescueshed_packets_sent_total", c.data.sent.Load)
-	count("fescueshed_packets_send_errors_total", c.data.failed.Load)
-	count("fescueshed_store_calls_total", c.platform.Store.Counts.Calls.Load)
-	count("fescueshed_store_calls_refused_total", c.platform.Store.Counts.Refused.Load)
-	count("fescueshed_store_calls_silent_total", c.platform.Store.Counts.Unanswered.Load)
+	count("fescueshed_packets_received_total", d.data.received.Load)
+	count("fescueshed_packets_sent_total", d.data.sent.Load)
+	count("fescueshed_packets_send_errors_total", d.data.failed.Load)
+	count("fescueshed_store_calls_total", d.platform.Store.Counts.Calls.Load)
+	count("fescueshed_store_calls_refused_total", d.platform.Store.Counts.Refused.Load)
+	count("fescueshed_store_calls_silent_total", d.platform.Store.Counts.Unanswered.Load)
 	count("fescueshed_upstream_restarts_total", func() uint64 {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return c.engine.Counters.Restarts
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return d.engine.Counters.Restarts
 	})
-	count("fescueshed_store_objects_unusable_total", c.unusable.Load)
-	count("fescueshed_probes_total", c.probes.sent.Load)
-	count("fescueshed_control_received_bytes_total", c.members.receivedBytes.Load)
-	count("fescueshed_control_sent_bytes_total", c.members.sentBytes.Load)
-	count("fescueshed_control_dropped_total", c.members.dropped.Load)
-	count("fescueshed_catalogs_fetched_total", c.members.pulls.Begun.Load)
-	countTransfers(count, "fescueshed_catalogs", &c.members.pulls)
-	countTransfers(count, "fescueshed_store_answers", &c.platform.Store.Counts.Answers)
-	count("fescueshed_log_lines_left_out_total", c.logs.leftOut.Load)
-	s.NewGauge("fescueshed_flows", func() float64 { return float64(c.flows()) })
-	s.NewGauge("fescueshed_members", func() float64 { return float64(c.Members()) })
-	s.NewGauge("fescueshed_bundle_version", func() float64 { return float64(c.inForce.Version()) })
+	count("fescueshed_store_objects_unusable_total", d.unusable.Load)
+	count("fescueshed_probes_total", d.probes.sent.Load)
+	count("fescueshed_control_received_bytes_total", d.members.receivedBytes.Load)
+	count("fescueshed_control_sent_bytes_total", d.members.sentBytes.Load)
+	count("fescueshed_control_dropped_total", d.members.dropped.Load)
+	count("fescueshed_catalogs_fetched_total", d.members.pulls.Begun.Load)
+	countTransfers(count, "fescueshed_catalogs", &d.members.pulls)
+	countTransfers(count, "fescueshed_store_answers", &d.platform.Store.Counts.Answers)
+	count("fescueshed_log_lines_left_out_total", d.logs.leftOut.Load)
+	s.NewGauge("fescueshed_flows", func() float64 { return float64(d.flows()) })
+	s.NewGauge("fescueshed_members", func() float64 { return float64(d.Members()) })
+	s.NewGauge("fescueshed_bundle_version", func() float64 { return float64(d.inForce.Version()) })
 	for k := range numKinds {
 		s.NewGauge(fmt.Sprintf("fescueshed_store_kind_age_seconds{kind=%q}", k), func() float64 {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			return time.Since(c.state.confirmed[k]).Seconds()
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			return time.Since(d.state.confirmed[k]).Seconds()
 		})
 	}
-	s.NewGauge("fescueshed_store_epoch", func() float64 { return float64(c.storeEpoch()) })
+	s.NewGauge("fescueshed_store_epoch", func() float64 { return float64(d.storeEpoch()) })
 	for k := range numKinds {
-		count(fmt.Sprintf("fescueshed_store_answers_outdated_total{kind=%q}", k), c.outdatedAnswers[k].Load)
+		count(fmt.Sprintf("fescueshed_store_answers_outdated_total{kind=%q}", k), d.outdatedAnswers[k].Load)
 		s.NewGauge(fmt.Sprintf("fescueshed_store_revision{kind=%q}", k), func() float64 {
-			return float64(c.positionOf(k).Revision())
+			return float64(d.positionOf(k).Revision())
 		})
 	}
 	s.NewGauge("fescueshed_store_age_seconds", func() float64 {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return time.Since(c.state.confirmedAll()).Seconds()
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return time.Since(d.state.confirmedAll()).Seconds()
 	})
 	return s
 }
@@ -116,8 +116,8 @@
 
 // writeRequests writes the evacuated zones, and the numbers of requests by service and outcome.
 // Their labels are known only when they occur.
-func (c *Daemon) writeRequests(w io.Writer) {
-	s := c.Status()
+func (d *Daemon) writeRequests(w io.Writer) {
+	s := d.Status()
 	status.WriteEvacuationMetrics(w, s.Evacuated)
 	for _, r := range s.Requests {
 		for outcome, n := range map[string]uint64{
@@ -135,11 +135,11 @@
 
 // writeHistograms writes the histograms in the library's own format. They are fields of the things
 // that they measure, not members of a metrics.Set.
-func (c *Daemon) writeHistograms(w io.Writer) {
+func (d *Daemon) writeHistograms(w io.Writer) {
 	for name, h := range map[string]histogram{
-		"fescueshed_answer_seconds":     &c.answerSeconds,
-		"fescueshed_probe_seconds":      &c.probeSeconds,
-		"fescueshed_store_call_seconds": &c.platform.Store.Counts.Latency,
+		"fescueshed_answer_seconds":     &d.answerSeconds,
+		"fescueshed_probe_seconds":      &d.probeSeconds,
+		"fescueshed_store_call_seconds": &d.platform.Store.Counts.Latency,
 	} {
 		total := uint64(0)
 		h.VisitNonZeroBuckets(func(vmrange string, count uint64) {
@@ -150,13 +150,13 @@
 	}
 }
 
-func (c *Daemon) countCause(
+func (d *Daemon) countCause(
 	count func(string, func() uint64), action string, cause cookie.Cause, of func(*cookie.Counters) uint64,
 ) {
 	name := fmt.Sprintf("fescueshed_packets_%s_total{cause=%q}", action, cause)
 	count(name, func() uint64 {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return of(&c.engine.Counters)
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return of(&d.engine.Counters)
 	})
 }
--- a/internal/process/cookiedaemon/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -98,7 +98,7 @@
 // readers of other zones.
 func (m *members) sendLoads(now time.Time) {
 	v := m.view.Load()
-	m.loads.putReport(m.c.ownReport(v.Self), now)
+	m.loads.putReport(m.daemon.ownReport(v.Self), now)
 	sum := m.loads.sum(v.Self, v.Reporters(), now)
 	if p := v.Parent(); p != nil {
 		send(m, protocolReport, m.reports, sum, []*peer.Member{p})
@@ -109,32 +109,32 @@
 			l.Answered = 0
 		}
 	}
-	ownLost, lost := m.c.storeLost(now)
+	ownLost, lost := m.daemon.storeLost(now)
 	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.lastSequence.Add(1), lost
-	m.c.applyLoads(sum, now)
+	m.daemon.applyLoads(sum, now)
 	send(m, protocolReport, m.reports, sum, v.Children(peer.TreeForward, true))
-	own := &peer.Report{From: v.Self, Zones: m.c.ownZone(), StoreLost: ownLost}
+	own := &peer.Report{From: v.Self, Zones: m.daemon.ownZone(), StoreLost: ownLost}
 	send(m, protocolReport, m.reports, own, v.OtherZoneReaders())
 }
 
-func (c *Daemon) ownZone() []peer.ZoneLoad {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	list := c.engine.OwnZoneLoads()
+func (d *Daemon) ownZone() []peer.ZoneLoad {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list := d.engine.OwnZoneLoads()
 	return list[:min(len(list), peer.MaxZones)]
 }
 
 func (m *members) receiveReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
-	if r.StoreLost && m.c.noteStoreLost(now) && !r.IsSum {
+	if r.StoreLost && m.daemon.noteStoreLost(now) && !r.IsSum {
 		m.sendLoads(now) // Its own zone needs this report.
 	}
 	switch {
 	case r.DeadOnly:
-		m.c.probeSuspects(r.Dead, now)
+		m.daemon.probeSuspects(r.Dead, now)
 		m.relayReport(r, v.Recipients(false), now)
 	case r.IsSum:
-		m.c.applyLoads(r, now)
+		m.daemon.applyLoads(r, now)
 		m.relayReport(r, v.Children(peer.TreeForward, false), now)
 	case len(r.Zones) > 0:
 		m.loads.putZoneReport(r, now)
@@ -151,17 +151,17 @@
 }
 
 // ownReport returns what this daemon counts at upstreams.
-func (c *Daemon) ownReport(self peer.ID) *peer.Report {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.engine.Report(self)
+func (d *Daemon) ownReport(self peer.ID) *peer.Report {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.engine.Report(self)
 }
 
 // applyLoads applies the sum of the zone's loads.
-func (c *Daemon) applyLoads(r *peer.Report, now time.Time) {
-	c.mu.Lock()
-	ejected := c.engine.ApplyZoneReport(r, now)
-	c.mu.Unlock()
+func (d *Daemon) applyLoads(r *peer.Report, now time.Time) {
+	d.mu.Lock()
+	ejected := d.engine.ApplyZoneReport(r, now)
+	d.mu.Unlock()
 	for _, id := range ejected {
 		klog.InfoS("Upstream gets no new flows: too many requests fail", "ID", id)
 	}
@@ -177,12 +177,12 @@
 }
 
 // probeSuspects probes upstreams that another daemon found dead.
-func (c *Daemon) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
-	c.mu.Lock()
+func (d *Daemon) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
+	d.mu.Lock()
 	for _, id := range ids {
-		c.engine.ReportedDead(id, now)
+		d.engine.ReportedDead(id, now)
 	}
-	due := c.engine.DueProbes(now)
-	c.mu.Unlock()
-	c.probes.send(due)
+	due := d.engine.DueProbes(now)
+	d.mu.Unlock()
+	d.probes.send(due)
 }
--- a/internal/process/cookiedaemon/members.go
+++ b/internal/process/cookiedaemon/members.go
@@ -29,7 +29,7 @@
 
 // members communicates with the other daemons.
 type members struct {
-	c              *Daemon
+	daemon         *Daemon
 	ctx            context.Context
 	ports          *udpport.Ports
 	swim           *peer.SequencedCodec[peer.Message, *peer.Message]
@@ -57,7 +57,7 @@
 	// mu guards the fields below.
 	mu         sync.Mutex
 	membership *peer.Membership
-	epoch      uint64
+	viewEpoch  uint64
 	nextSeed   time.Time
 	// seedPeriod is the pause after the next request to the seeds.
 	seedPeriod time.Duration
@@ -82,14 +82,14 @@
 // milliCores is the unit of peer.Member.Size.
 const milliCores = 1000
 
-func (c *Daemon) startMembers(ctx context.Context) (func(), error) {
-	cfg := c.cfg.Load()
+func (d *Daemon) startMembers(ctx context.Context) (func(), error) {
+	cfg := d.cfg.Load()
 	m := &members{
-		c: c, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedSequences(),
+		daemon: d, seedPeriod: seedPeriod, loads: newZoneLoads(), changes: newMemberLog(), relayed: newRelayedSequences(),
 		pullLines: logs.NewLimiter(pullLines),
 		joinSlots: make(chan struct{}, max(minJoinSlots, int(joinSlotsPerCore*cfg.CPUShare))), firstMemberMet: make(chan struct{}, 1),
 	}
-	m.lastSequence.Store(uint64(c.started.UnixNano()))
+	m.lastSequence.Store(uint64(d.started.UnixNano()))
 	if err := m.newCodecs(keys(cfg)); err != nil {
 		return nil, err
 	}
@@ -105,18 +105,18 @@
 		Data:        cfg.DataAddress,
 		Control:     cfg.Announced(),
 		RPC:         cfg.Announced(),
-		Incarnation: peer.Incarnation(c.started.UnixMilli()),
+		Incarnation: peer.Incarnation(d.started.UnixMilli()),
 		Boot:        rand.Uint64(),
 		Size:        uint32(cfg.CPUShare * milliCores),
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	m.membership = peer.NewMembership(peer.Config{ProbePeriod: time.Duration(cfg.ProbePeriod), Updates: peer.MaxUpdates}, self, rng)
 	m.view.Store(m.membership.View())
-	c.members = m
+	d.members = m
 	ctx, cancel := context.WithCancel(ctx)
 	m.ctx = ctx
 	ports.Start(m.handleDatagram)
-	m.tick(c.started)
+	m.tick(d.started)
 	m.wg.Go(func() { m.join(ctx) })
 	m.wg.Go(func() { m.serve(ctx) })
 	m.wg.Go(func() { m.logReady(ctx) })
@@ -131,10 +131,10 @@
 // are refused immediately: after a power loss all hosts ask the seeds, and hosts that waited for a
 // seed that is starting too would begin to forward some 100 ms later.
 func (m *members) serve(ctx context.Context) {
-	if !m.c.awaitReady(ctx) {
+	if !m.daemon.awaitReady(ctx) {
 		return
 	}
-	stop, err := peer.ServeRPC(ctx, m.c.cfg.Load().ControlAddress, jsonrpc2.HandlerWithError(m.handleRPC))
+	stop, err := peer.ServeRPC(ctx, m.daemon.cfg.Load().ControlAddress, jsonrpc2.HandlerWithError(m.handleRPC))
 	if err != nil {
 		klog.ErrorS(err, "Control protocol can't be served to other daemons")
 		return
@@ -184,7 +184,7 @@
 			m.update(func(g *peer.Membership) []peer.Envelope { return g.Receive(now, from, msg) })
 		})
 	case protocolAdvertisement:
-		err = receive(m.advertisements, body, func(n *peer.Advertisement) { m.receiveAdvertisement(from, n, now) })
+		err = receive(m.advertisements, body, func(a *peer.Advertisement) { m.receiveAdvertisement(from, a, now) })
 	case protocolReport:
 		err = receive(m.reports, body, func(r *peer.Report) { m.receiveReport(r, now) })
 	default:
@@ -241,8 +241,8 @@
 	m.mu.Lock()
 	out := f(m.membership)
 	var view, old *peer.View
-	if e := m.membership.Epoch(); e != m.epoch {
-		m.epoch = e
+	if e := m.membership.Epoch(); e != m.viewEpoch {
+		m.viewEpoch = e
 		old = m.view.Load()
 		view = m.membership.View()
 		m.view.Store(view)
@@ -280,7 +280,7 @@
 func (m *members) join(ctx context.Context) {
 	m.bootstrap(ctx)
 	for _, after := range joinFetchTimes {
-		sleep(ctx, after/2+rand.N(after)-time.Since(m.c.started))
+		sleep(ctx, after/2+rand.N(after)-time.Since(m.daemon.started))
 		if to := m.anyMember(); to.IsValid() && ctx.Err() == nil {
 			m.pull(to, false)
 		}
@@ -296,7 +296,7 @@
 		o := &v.Members[i]
 		switch {
 		case o.ID == v.Self:
-		case slices.Contains(m.c.cfg.Load().Seeds, o.Control):
+		case slices.Contains(m.daemon.cfg.Load().Seeds, o.Control):
 			seeds = append(seeds, o.Control)
 		default:
 			others = append(others, o.Control)
@@ -314,7 +314,7 @@
 // is none.
 func (m *members) memberInOtherZone() netip.AddrPort {
 	v := m.view.Load()
-	zone := m.c.cfg.Load().Zone
+	zone := m.daemon.cfg.Load().Zone
 	var others []netip.AddrPort
 	for i := range v.Members {
 		if v.Members[i].Zone != zone {
@@ -329,7 +329,7 @@
 
 // tick advances the membership's timers and contacts the seeds when that is due.
 func (m *members) tick(now time.Time) {
-	version := m.c.inForce.Version()
+	version := m.daemon.inForce.Version()
 	m.update(func(g *peer.Membership) []peer.Envelope {
 		g.SetBundle(version)
 		out := g.Tick(now)
@@ -338,10 +338,10 @@
 		}
 		m.nextSeed = now.Add(m.seedPeriod)
 		m.seedPeriod = min(2*m.seedPeriod, maxSeedPeriod)
-		if len(m.view.Load().Members) > 1 && m.c.start.ready.isSet() {
+		if len(m.view.Load().Members) > 1 && m.daemon.start.ready.isSet() {
 			m.nextSeed = now.Add(connectedSeedPeriod/2 + rand.N(connectedSeedPeriod))
 		}
-		return append(out, g.Seed(m.c.cfg.Load().Seeds)...)
+		return append(out, g.Seed(m.daemon.cfg.Load().Seeds)...)
 	})
 }
 
--- a/internal/process/cookiedaemon/probe.go
+++ b/internal/process/cookiedaemon/probe.go
@@ -19,22 +19,22 @@
 
 // probes sends health probes to suspected upstreams.
 type probes struct {
-	c    *Daemon
-	ctx  context.Context
-	wg   sync.WaitGroup
-	sent atomic.Uint64
+	daemon *Daemon
+	ctx    context.Context
+	wg     sync.WaitGroup
+	sent   atomic.Uint64
 }
 
-// answerTimeout bounds the wait for the health answer once a connection is accepted. A busy
+// healthTimeout bounds the wait for the health answer once a connection is accepted. A busy
 // upstream may take long; that it accepted shows already that it is alive.
-const answerTimeout = 500 * time.Millisecond
+const healthTimeout = 500 * time.Millisecond
 
-func (c *Daemon) startProbes(ctx context.Context) (func(), error) {
+func (d *Daemon) startProbes(ctx context.Context) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
-	c.probes = &probes{c: c, ctx: ctx}
+	d.probes = &probes{daemon: d, ctx: ctx}
 	return func() {
 		cancel()
-		c.probes.wg.Wait()
+		d.probes.wg.Wait()
 	}, nil
 }
 
@@ -53,16 +53,16 @@
 	}
 	r := p.connect(pr, sent)
 	now := time.Now()
-	p.c.probeSeconds.Update(now.Sub(sent).Seconds())
-	c := p.c
-	c.mu.Lock()
-	before := c.engine.Health(pr.Upstream.ID)
-	resets := c.engine.ProbeDone(pr.Upstream.ID, r, sent, now)
-	after := c.engine.Health(pr.Upstream.ID)
-	c.mu.Unlock()
-	c.data.resets(resets)
+	p.daemon.probeSeconds.Update(now.Sub(sent).Seconds())
+	d := p.daemon
+	d.mu.Lock()
+	before := d.engine.Health(pr.Upstream.ID)
+	resets := d.engine.ProbeDone(pr.Upstream.ID, r, sent, now)
+	after := d.engine.Health(pr.Upstream.ID)
+	d.mu.Unlock()
+	d.data.resets(resets)
 	if after == cookie.HealthDead && before != after && pr.Registered {
-		c.members.announceDead([]bundle.UpstreamID{pr.Upstream.ID})
+		d.members.announceDead([]bundle.UpstreamID{pr.Upstream.ID})
 	}
 	if before != after {
 		klog.InfoS("Upstream probed", "Upstream", pr.Upstream.Address, "ID", pr.Upstream.ID, "Listed", pr.Registered,
@@ -74,10 +74,10 @@
 func (p *probes) checkReachability(u *bundle.UpstreamRoute) {
 	accepted := p.acceptsQuickly(u)
 	now := time.Now()
-	p.c.mu.Lock()
-	p.c.engine.CheckDone(accepted, now)
-	due := p.c.engine.DueProbes(now)
-	p.c.mu.Unlock()
+	p.daemon.mu.Lock()
+	p.daemon.engine.CheckDone(accepted, now)
+	due := p.daemon.engine.DueProbes(now)
+	p.daemon.mu.Unlock()
 	klog.InfoS("No answer from any upstream, checked one of another zone",
 		"Upstream", u.Address, "Zone", u.Zone, "Accepted", accepted, "ProbedNext", len(due))
 	p.send(due)
@@ -119,7 +119,7 @@
 // connection isn't accepted within its part of the time-out, though the reference accepts, the
 // upstream is reported as unaccepted.
 func (a *attempt) scheduleUnacceptedCheck(conn syscall.RawConn) {
-	timeout := time.Duration(a.p.c.cfg.Load().ProbeTimeout)
+	timeout := time.Duration(a.p.daemon.cfg.Load().ProbeTimeout)
 	time.AfterFunc(timeout/unacceptedDivisor, func() {
 		if a.p.ctx.Err() == nil && unaccepted(conn) && a.referenceAccepts() && unaccepted(conn) {
 			a.p.reportUnaccepted(a.pr, a.sent)
@@ -153,15 +153,15 @@
 // reportUnaccepted reports to the engine that a probe isn't accepted although its reference was.
 func (p *probes) reportUnaccepted(pr cookie.Probe, sent time.Time) {
 	now := time.Now()
-	c := p.c
-	c.mu.Lock()
-	found, resets := c.engine.ProbePending(pr.Upstream.ID, sent, now)
-	due := c.engine.DueProbes(now)
-	c.mu.Unlock()
-	c.data.resets(resets)
+	d := p.daemon
+	d.mu.Lock()
+	found, resets := d.engine.ProbePending(pr.Upstream.ID, sent, now)
+	due := d.engine.DueProbes(now)
+	d.mu.Unlock()
+	d.data.resets(resets)
 	p.send(due)
 	if len(found) > 0 {
-		c.members.announceDead(found)
+		d.members.announceDead(found)
 		klog.InfoS("Upstreams of a zone don't answer", "Zone", pr.Upstream.Zone, "Upstreams", len(found), "FlowsReset", len(resets),
 			"ProbedNext", len(due))
 	}
@@ -169,7 +169,7 @@
 
 // dial connects to an upstream. begins is called just before and may be nil.
 func (p *probes) dial(u *bundle.UpstreamRoute, begins func(syscall.RawConn)) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(p.ctx, time.Duration(p.c.cfg.Load().ProbeTimeout))
+	ctx, cancel := context.WithTimeout(p.ctx, time.Duration(p.daemon.cfg.Load().ProbeTimeout))
 	defer cancel()
 	nd := net.Dialer{Control: func(_, _ string, conn syscall.RawConn) error {
 		if begins != nil {
@@ -192,7 +192,7 @@
 		return false
 	}
 	_ = conn.Close() // No data was sent.
-	return time.Since(began) < time.Duration(p.c.cfg.Load().ProbeTimeout)/quickDivisor
+	return time.Since(began) < time.Duration(p.daemon.cfg.Load().ProbeTimeout)/quickDivisor
 }
 
 // quickDivisor divides the probe's time-out. A healthy upstream accepts within that part of it.
@@ -205,7 +205,7 @@
 	}
 	defer t.CloseIdleConnections()
 	defer func() { _ = conn.Close() }() // The answer was read, or is no longer needed.
-	ctx, cancel := context.WithTimeout(p.ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(p.ctx, healthTimeout)
 	defer cancel()
 	at := "http://" + pr.Upstream.Address.String() + pr.Upstream.Service.HealthPath
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, at, http.NoBody)
@@ -217,7 +217,7 @@
 		return cookie.ProbeAlive // Accepted, but too busy to answer: it may be the same upstream.
 	}
 	_ = resp.Body.Close()
-	id := p.c.platform.HealthID(resp.Header)
+	id := p.daemon.platform.HealthID(resp.Header)
 	if id != 0 && id != pr.Upstream.ID {
 		return cookie.ProbeOther
 	}
--- a/internal/process/cookiedaemon/relay.go
+++ b/internal/process/cookiedaemon/relay.go
@@ -69,9 +69,9 @@
 const ageTolerance = 100 * time.Millisecond
 
 // newer reports whether w covers more than what was relayed before.
-func (w advertisementSummary) newer(than advertisementSummary) bool {
-	if w.bundle != than.bundle || w.asOf != than.asOf || w.digest != than.digest || w.evacuated != than.evacuated {
+func (s advertisementSummary) newer(than advertisementSummary) bool {
+	if s.bundle != than.bundle || s.asOf != than.asOf || s.digest != than.digest || s.evacuated != than.evacuated {
 		return true
 	}
-	return w.confirmed.Sub(than.confirmed) > ageTolerance
+	return s.confirmed.Sub(than.confirmed) > ageTolerance
 }
--- a/internal/process/cookiedaemon/start.go
+++ b/internal/process/cookiedaemon/start.go
@@ -85,7 +85,7 @@
 
 // bootstrap fetches catalogs from other daemons until this daemon can place flows.
 func (m *members) bootstrap(ctx context.Context) {
-	s := m.c.start
+	s := m.daemon.start
 	large := s.listIsLarge.done
 	var larger []netip.AddrPort
 	for try := 0; ctx.Err() == nil && !s.ready.isSet(); {
@@ -113,13 +113,13 @@
 
 // logReady logs the end of the start: how long it took and how many calls it needed.
 func (m *members) logReady(ctx context.Context) {
-	if !m.c.awaitReady(ctx) {
+	if !m.daemon.awaitReady(ctx) {
 		return
 	}
-	s := m.c.start
+	s := m.daemon.start
 	klog.InfoS("Ready", "After", time.Since(s.StartedAt).Round(time.Millisecond),
 		"CallersWaited", s.callersWaiting.isSet(), "LongList", s.listIsLarge.isSet(),
-		"StoreCalls", m.c.platform.Store.Counts.Calls.Load(), "MembersAsked", m.pulls.Begun.Load(),
+		"StoreCalls", m.daemon.platform.Store.Counts.Calls.Load(), "MembersAsked", m.pulls.Begun.Load(),
 		"Rank", m.view.Load().ReaderRank(), "Members", len(m.view.Load().Members))
 }
 
@@ -157,7 +157,7 @@
 	if len(out) > 0 {
 		return out
 	}
-	o, err := m.c.platform.Contacts.Get(ctx)
+	o, err := m.daemon.platform.Contacts.Get(ctx)
 	if err == nil {
 		err = o.Err
 	}
@@ -171,26 +171,26 @@
 // listStillNeeded is called before a list of upstreams is read from the store, once its size in
 // bytes is known. If the list is large, it gives a larger member time to send its catalog. It
 // reports whether the list still has to be read.
-func (c *Daemon) listStillNeeded(ctx context.Context, size int64) bool {
+func (d *Daemon) listStillNeeded(ctx context.Context, size int64) bool {
 	if size < largeListBytes {
 		return true
 	}
-	c.start.listIsLarge.set()
+	d.start.listIsLarge.set()
 	select {
 	case <-ctx.Done():
-	case <-c.start.ready.done:
-	case <-c.start.noLargerMember.done:
+	case <-d.start.ready.done:
+	case <-d.start.noLargerMember.done:
 	case <-time.After(largerMemberTimeout):
 	}
-	return !c.start.ready.isSet()
+	return !d.start.ready.isSet()
 }
 
 // awaitOtherKind waits until this daemon can place flows, but at most otherKindTimeout: the store
 // of a system that starts for the first time has no bundle yet.
-func (c *Daemon) awaitOtherKind(ctx context.Context) {
+func (d *Daemon) awaitOtherKind(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-c.start.ready.done:
+	case <-d.start.ready.done:
 	case <-time.After(otherKindTimeout):
 	}
 }
@@ -198,24 +198,24 @@
 // awaitReadCheck waits until the next check whether this daemon should read the store. It waits
 // readCheckPeriod if the daemon is ready or callers are waiting. Otherwise it waits startPoll, or
 // until a caller's packet arrives for which the daemon may have to read the store.
-func (c *Daemon) awaitReadCheck(ctx context.Context) {
-	if c.start.ready.isSet() || c.start.callersWaiting.isSet() {
+func (d *Daemon) awaitReadCheck(ctx context.Context) {
+	if d.start.ready.isSet() || d.start.callersWaiting.isSet() {
 		sleep(ctx, readCheckPeriod)
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-c.start.callersWaiting.done:
+	case <-d.start.callersWaiting.done:
 	case <-time.After(startPoll):
 	}
 }
 
 // awaitReady waits until the daemon can place flows. It returns false if ctx ends before.
-func (c *Daemon) awaitReady(ctx context.Context) bool {
+func (d *Daemon) awaitReady(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-c.start.ready.done:
+	case <-d.start.ready.done:
 		return true
 	}
 }
--- a/internal/process/cookiedaemon/status.go
+++ b/internal/process/cookiedaemon/status.go
@@ -10,18 +10,18 @@
 )
 
 // Status returns the daemon's present state.
-func (c *Daemon) Status() status.Status {
-	cfg := c.cfg.Load()
-	out := status.Status{Name: cfg.Name, Zone: cfg.Zone, Version: c.inForce.Version()}
-	for _, m := range c.members.view.Load().Members {
+func (d *Daemon) Status() status.Status {
+	cfg := d.cfg.Load()
+	out := status.Status{Name: cfg.Name, Zone: cfg.Zone, Version: d.inForce.Version()}
+	for _, m := range d.members.view.Load().Members {
 		out.Members = append(out.Members, status.MemberStatus{Name: m.Name, Zone: m.Zone, State: m.State.String()})
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	out.Flows = c.engine.Flows()
-	out.Evacuated = c.evacuationStatus()
-	out.Store = c.storeStatus(time.Now())
-	for _, u := range c.engine.Upstreams() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out.Flows = d.engine.Flows()
+	out.Evacuated = d.evacuationStatus()
+	out.Store = d.storeStatus(time.Now())
+	for _, u := range d.engine.Upstreams() {
 		requests := u.Load.Requests.Load()
 		out.OpenRequests += int(requests)
 		out.Upstreams = append(out.Upstreams, status.UpstreamStatus{
@@ -29,18 +29,18 @@
 			Slots: u.Route.Slots, Flows: u.Load.Flows.Load(), Requests: requests,
 		})
 	}
-	out.Drops = dropStatus(&c.engine.Counters)
-	out.Requests = requestStatus(c.engine.Requests())
+	out.Drops = dropStatus(&d.engine.Counters)
+	out.Requests = requestStatus(d.engine.Requests())
 	return out
 }
 
-// storeStatus returns as of when the store's content is known. c.mu must be held.
-func (c *Daemon) storeStatus(now time.Time) *status.StoreStatus {
-	out := &status.StoreStatus{Epoch: c.state.epoch, EpochSince: c.state.epochSince}
-	out.HeldOverOlder, out.HeldThoughMissing = c.state.catalog.HeldCounts()
+// storeStatus returns as of when the store's content is known. d.mu must be held.
+func (d *Daemon) storeStatus(now time.Time) *status.StoreStatus {
+	out := &status.StoreStatus{Epoch: d.state.epoch, EpochSince: d.state.epochSince}
+	out.HeldOverOlder, out.HeldThoughMissing = d.state.catalog.HeldCounts()
 	for k := range numKinds {
 		out.Kinds = append(out.Kinds, status.StoreKindStatus{
-			Kind: k.String(), AsOf: c.state.position(k).String(), Age: now.Sub(c.state.confirmed[k]).Seconds(),
+			Kind: k.String(), AsOf: d.state.position(k).String(), Age: now.Sub(d.state.confirmed[k]).Seconds(),
 		})
 	}
 	return out
--- a/internal/process/cookiedaemon/storestate.go
+++ b/internal/process/cookiedaemon/storestate.go
@@ -48,14 +48,14 @@
 
 // observeEpoch records the epoch given by an answer or a message. It reports whether the epoch
 // shows that the store was restored since something was known of its content.
-func (k *storeState) observeEpoch(e objects.Epoch, now time.Time) bool {
-	if e <= k.epoch {
+func (s *storeState) observeEpoch(e objects.Epoch, now time.Time) bool {
+	if e <= s.epoch {
 		return false
 	}
-	k.epoch = e
+	s.epoch = e
 	for of := range numKinds {
-		if k.position(of) != 0 {
-			k.epochSince = now
+		if s.position(of) != 0 {
+			s.epochSince = now
 			return true
 		}
 	}
@@ -63,27 +63,27 @@
 }
 
 // position returns the position as of which a kind is known.
-func (k *storeState) position(of kind) objects.Position {
+func (s *storeState) position(of kind) objects.Position {
 	switch of {
 	case kindBundles:
-		return k.bundleAsOf
+		return s.bundleAsOf
 	case kindEvacuations:
-		return k.evacuated.Stored.AsOf
+		return s.evacuated.Stored.AsOf
 	}
-	return k.catalog.AsOf
+	return s.catalog.AsOf
 }
 
 // confirm records that a kind was known as a whole at a given time.
-func (k *storeState) confirm(of kind, at time.Time) {
-	if at.After(k.confirmed[of]) {
-		k.confirmed[of] = at
+func (s *storeState) confirm(of kind, at time.Time) {
+	if at.After(s.confirmed[of]) {
+		s.confirmed[of] = at
 	}
 }
 
 // confirmedAll returns the time as of which all kinds are known, or zero if one isn't known.
-func (k *storeState) confirmedAll() time.Time {
-	oldest := k.confirmed[0]
-	for _, at := range k.confirmed {
+func (s *storeState) confirmedAll() time.Time {
+	oldest := s.confirmed[0]
+	for _, at := range s.confirmed {
 		if at.Before(oldest) {
 			oldest = at
 		}
