--- a/internal/connection/caller/cause.go
+++ b/internal/connection/caller/cause.go
@@ -10,18 +10,28 @@
 	CauseMalformedGeneve
 	CauseMalformedIP
 	CauseMalformedCoAP
-	// CauseUnknownSender: the sender is neither a fabric address nor an upstream.
+	// CauseUnknownSender: the sender is neither a fabric address nor an upstream, or no
+	// fabric address is set to which the packet could be sent.
 	CauseUnknownSender
+	// CauseBadTag: the authentication tag of a packet with a hop doesn't match.
 	CauseBadTag
 	CauseNoBundle
+	// CauseWrongService: the bundle has no service with the packet's VNI, or the
+	// service's addresses, protocol or upstreams don't match the packet.
 	CauseWrongService
+	// CauseNoFlow: no usable record of the flow was found, and none could be made from the
+	// packet.
 	CauseNoFlow
+	// CauseWrongUpstream: an answer isn't from the upstream that holds the flow.
 	CauseWrongUpstream
 	// CauseTokenNotOpen: no request with the token of the CoAP answer waits for it.
 	CauseTokenNotOpen
 	// CauseUpstreamRemoved: the upstream of the flow's record isn't in the bundle.
 	CauseUpstreamRemoved
+	// CauseNoUpstream: no upstream can take the flow, and the packet is no CoAP request
+	// or TCP segment that could be answered.
 	CauseNoUpstream
+	// CauseTooManyHops: daemons have forwarded the packet to each other maxHops times.
 	CauseTooManyHops
 	// CauseRefused: the daemon refused the call, which did not run.
 	CauseRefused
--- a/internal/connection/caller/engine.go
+++ b/internal/connection/caller/engine.go
@@ -102,7 +102,8 @@
 	Conflicts atomic.Uint64
 	// Pauses counts the pauses of this process after which records had to be confirmed.
 	Pauses atomic.Uint64
-	Ended  atomic.Uint64
+	// Ended counts flows that were closed, were idle for too long or lost their service.
+	Ended atomic.Uint64
 }
 
 // NewEngine returns an engine without a bundle whose view has no other members.
@@ -176,8 +177,9 @@
 	p       *Packet
 	key     Key
 	hash    peer.FlowHash
-	answer  bool
-	out     []Output
+	// answer is set if the packet goes from an upstream to the caller.
+	answer bool
+	out    []Output
 }
 
 // Handle decides what to do with a packet and appends the packets to send to out. A
@@ -306,6 +308,8 @@
 	return CauseNone
 }
 
+// hasCommitted reports whether this daemon holds a committed record for a packet that
+// another member sent.
 func (e *Engine) hasCommitted(w *packetWork) bool {
 	if w.p.Header.Hop.Kind == geneve.KindNone {
 		return false
@@ -325,6 +329,7 @@
 	r.PauseCount = uint8(e.pauses.Load())
 }
 
+// send appends a packet to those to send.
 func (w *packetWork) send(to netip.AddrPort, h geneve.Header, inner []byte) {
 	w.out = append(w.out, Output{To: to, Header: h, Inner: inner})
 }
--- a/internal/connection/caller/key.go
+++ b/internal/connection/caller/key.go
@@ -6,7 +6,16 @@
 // placed. The owner of the flow, which all daemons compute from the hash of its key,
 // decides on its packets. Other members keep replicas of the record: one in each zone,
 // of which the one in the upstream's zone is the backup. The placer of a service
-// chooses the upstreams of its new flows, so that one member sees all of them.
+// chooses the upstreams of its new flows, so that one member sees all of them. Which
+// member has which role is computed from a view of the members (peer.View), and two
+// members may have different views for a while.
+//
+// The fabric sends callers' packets and receives answers, in Geneve with the service's
+// VNI. Packets between daemons carry a hop too (geneve.Hop), which says what the next
+// daemon is to do. The owner's choice of an upstream is a proposal, in a tentative
+// record, until another member holds the record too; then the record is committed. A
+// query is a packet that passes through the members that may hold the record. A request
+// is a CoAP request of a flow, identified by its token.
 package caller
 
 import (
--- a/internal/connection/caller/owner.go
+++ b/internal/connection/caller/owner.go
@@ -17,6 +17,8 @@
 	return e.handleCall(w)
 }
 
+// handleCall handles a call at the daemon that decides for its flow, and makes the flow's
+// record if there is none.
 func (e *Engine) handleCall(w *packetWork) Cause {
 	var rec Record
 	e.Flows.Update(&w.key, w.hash, func(r *Record, found bool) bool {
@@ -140,7 +142,7 @@
 	return r.ReplicatedAt < copiesBeforePlacement
 }
 
-// chooseUpstream returns an upstream for the flow other than not, or nil. It skips
+// chooseUpstream returns an upstream for the flow other than exclude, or nil. It skips
 // zones in which no member is reachable, because their upstreams can't be reached
 // either.
 func (e *Engine) chooseUpstream(w *packetWork, exclude bundle.UpstreamID) *bundle.UpstreamRoute {
--- a/internal/connection/caller/refresh.go
+++ b/internal/connection/caller/refresh.go
@@ -69,6 +69,8 @@
 	return e.forwardRefresh(w)
 }
 
+// forwardRefresh sends a packet to the next member that keeps a replica, or delivers it if
+// there is none.
 func (e *Engine) forwardRefresh(w *packetWork) Cause {
 	if e.sendToNextReplica(w) {
 		return CauseNone
--- a/internal/connection/caller/requests.go
+++ b/internal/connection/caller/requests.go
@@ -35,16 +35,26 @@
 
 // Request is what the owner of a flow records of one of its requests.
 type Request struct {
-	Upstream  bundle.UpstreamID
-	Opened    time.Time
-	Deadline  time.Time
-	LastSeen  time.Time
-	Message   coap.Message
-	AnswerID  uint16
-	State     RequestState
+	// Upstream is the flow's upstream when the request was opened, zero if the flow wasn't
+	// placed yet.
+	Upstream bundle.UpstreamID
+	// Opened is when the request was opened here.
+	Opened time.Time
+	// Deadline is when the daemon answers the request itself. In an expired request it is
+	// the time until which the request is kept.
+	Deadline time.Time
+	// LastSeen is when the last packet of the request arrived, or when it expired.
+	LastSeen time.Time
+	// Message is the request. AnswerID is the message ID of its last answer.
+	Message  coap.Message
+	AnswerID uint16
+	State    RequestState
+	// holdsSlot is set while the request counts in the upstream's load.
 	holdsSlot bool
 }
 
+// requestKey identifies a request. A later request of the flow with the same token replaces
+// it.
 type requestKey struct {
 	flow  Key
 	token coap.Token
@@ -78,6 +88,7 @@
 	return &t.shards[h>>(64-shardBits)]
 }
 
+// update calls f with a request as Table.Update does with a record.
 func (t *Requests) update(k *requestKey, h peer.FlowHash, f func(r *Request, found bool) bool) {
 	s := t.shard(h)
 	s.mu.Lock()
@@ -216,6 +227,8 @@
 	return cause
 }
 
+// recordAnswer closes a request by an answer and returns CauseTokenNotOpen if the answer
+// must not be sent to the caller.
 func (e *Engine) recordAnswer(w *packetWork, r *Request) Cause {
 	m := &w.p.CoAP
 	r.LastSeen = w.now
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -44,7 +44,9 @@
 	return e.expire(now, shard, s.out), result
 }
 
-// sweep is the state of one pass through a shard.
+// sweep is the state of one pass through a shard. budget is how many more records it may
+// send, awaiting counts the ones sent that must be confirmed, and exhausted is set if the
+// budget didn't suffice.
 type sweep struct {
 	e         *Engine
 	view      *numberedView
--- a/internal/connection/caller/table.go
+++ b/internal/connection/caller/table.go
@@ -96,7 +96,8 @@
 	// neither copies records nor doubles their memory.
 	chunkBits    = 8
 	chunkRecords = 1 << chunkBits
-	minIndex     = 64
+	// minIndex is the number of slots of a shard's first index.
+	minIndex = 64
 	// An index is at most 4/5 full; up to there linear probing needs few steps.
 	loadNum, loadDen = 4, 5
 )
@@ -139,9 +140,11 @@
 	mu     sync.Mutex
 	index  []slot
 	chunks [][]entry
-	free   []uint32
-	used   uint32
-	count  int
+	// free holds the numbers of the entries that are free again, used is how many were ever
+	// taken from the chunks, count how many hold a record.
+	free  []uint32
+	used  uint32
+	count int
 }
 
 // NewTable returns an empty table.
@@ -249,6 +252,7 @@
 	return true
 }
 
+// place puts entry n into the first empty slot for its hash.
 func (s *shard) place(n uint32, h peer.FlowHash) {
 	mask := uint64(len(s.index) - 1)
 	i := uint64(h) & mask
@@ -258,6 +262,7 @@
 	s.index[i] = newSlot(n, h)
 }
 
+// alloc returns the number of a free entry.
 func (s *shard) alloc() uint32 {
 	if last := len(s.free) - 1; last >= 0 {
 		n := s.free[last]
@@ -271,6 +276,7 @@
 	return s.used - 1
 }
 
+// grow doubles the index, or makes the first one.
 func (s *shard) grow() {
 	old := s.index
 	s.index = make([]slot, max(minIndex, 2*len(old)))
--- a/internal/connection/cookie/cause.go
+++ b/internal/connection/cookie/cause.go
@@ -10,11 +10,13 @@
 	ActionReset
 )
 
-// Cause says why a packet was placed, reset or dropped. Counters and log lines use its name.
+// Cause says why a packet was forwarded or dropped, or why a flow was reset. Counters and log lines
+// use its name.
 type Cause uint8
 
 // The causes.
 const (
+	// CauseNone: the packet belongs to an established flow and is forwarded.
 	CauseNone Cause = iota
 	// CauseMalformed: the bytes aren't a valid packet.
 	CauseMalformed
@@ -42,13 +44,14 @@
 	// CauseRepeated: a retransmitted first packet was sent to the same upstream as the first.
 	CauseRepeated
 	// CauseSilent: a retransmitted first packet was sent to another upstream, since the first one
-	// was silent.
+	// was silent or its zone was evacuated.
 	CauseSilent
 	// CauseSpilled: a new flow was placed in another zone, which had more free capacity, or since no
 	// upstream of the own zone could take it.
 	CauseSpilled
 	// CauseEvacuated: a first packet arrived again after the zone of its flow's upstream was
-	// evacuated.
+	// evacuated. It was dropped if the flow was open, and refused if no other zone could take the
+	// flow.
 	CauseEvacuated
 
 	// NumCauses is the number of causes.
@@ -68,7 +71,7 @@
 	return causeNames[c]
 }
 
-// Verdict is the decision of the engine on one packet.
+// Verdict is the decision of the engine on one packet. Its zero value drops the packet.
 type Verdict struct {
 	Action Action
 	Cause  Cause
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -39,7 +39,8 @@
 	flows     map[Key]*flow
 	// unknownCookies holds when each cookie that names no known upstream was first seen.
 	unknownCookies map[Cookie]time.Time
-	// confirmed is the latest time at which the registrations were known to be complete.
+	// confirmed is the latest time at which the registrations were known to be complete, zero if
+	// they never were.
 	confirmed     time.Time
 	confirmations confirmationRun
 	// lastSeen is when any upstream last showed a sign of life.
@@ -58,14 +59,15 @@
 	zoneLoads         map[zoneService]zoneLoad
 	healthByZone      map[bundle.Zone]*zoneHealth
 	// evacuated holds since when each evacuated zone is evacuated.
-	evacuated  map[bundle.Zone]time.Time
+	evacuated map[bundle.Zone]time.Time
+	// candidates is a buffer that choose reuses.
 	candidates []upstream.Candidate
 	requests   map[string]*Requests
 	LoadTable  *upstream.LoadTable
 	Counters   Counters
 }
 
-// Counters count decisions by cause.
+// Counters count decisions by cause. Like the engine, they aren't safe for concurrent use.
 type Counters struct {
 	Forwarded [NumCauses]uint64
 	Reset     [NumCauses]uint64
@@ -201,7 +203,7 @@
 	return out
 }
 
-// applyRegistration puts a registration in force.
+// applyRegistration puts a registration of a known upstream in force.
 func (e *Engine) applyRegistration(u *Upstream, r *registry.Registration, now time.Time) {
 	if u.registered {
 		e.index.removeFromService(u)
@@ -225,7 +227,8 @@
 	return e.routing != nil && u.registered && r.Service != u.Route.Service.Name && e.routing.Registered(r.Service) == nil
 }
 
-// ConfirmRegistrations notes that the registrations were complete at a time.
+// ConfirmRegistrations notes that the registrations were complete at a time. It ignores a time
+// before one that was confirmed already.
 func (e *Engine) ConfirmRegistrations(at time.Time) {
 	if at.After(e.confirmed) {
 		e.confirmations.add(at, e.confirmed)
--- a/internal/connection/cookie/established.go
+++ b/internal/connection/cookie/established.go
@@ -12,7 +12,8 @@
 	// upstream whose registration lapsed while the store was unavailable, which is back within
 	// about two seconds of the store's return. A reset would break a live flow.
 	unknownGrace = 3 * time.Second
-	// maxUnknownCookies bounds the memory for cookies that no balancer assigned.
+	// maxUnknownCookies bounds the number of remembered cookies that name no known upstream, and so
+	// the memory for cookies that no balancer assigned.
 	maxUnknownCookies = 4096
 )
 
@@ -37,8 +38,8 @@
 }
 
 // markOpened notes at which upstream the flow opened. That is the one whose answer the caller
-// acknowledges, and so the one whose cookie it repeats, not necessarily the one that was tried
-// last. From then on the record decides, not the cookie: if a second upstream, tried while the
+// acknowledges, and so the one whose cookie it repeats, not necessarily the one that the flow was
+// sent to last. From then on the record decides, not the cookie: if a second upstream, tried while the
 // first was slow, answers late, the caller repeats that one's cookie. By the cookie alone, the
 // flow's packets would go to an upstream that resets them.
 func (e *Engine) markOpened(f *flow, p *Packet, now time.Time) {
--- a/internal/connection/cookie/flow.go
+++ b/internal/connection/cookie/flow.go
@@ -6,7 +6,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// flow is the record of a flow that passes this balancer. It is soft state.
+// flow is the record of a flow that passes this balancer. It is soft state. The load in which it
+// counts is that of its upstream in Engine.LoadTable.
 type flow struct {
 	upstream *Upstream
 	// previous is the upstream from which a retransmission of the first packet moved the flow away.
--- a/internal/connection/cookie/load.go
+++ b/internal/connection/cookie/load.go
@@ -14,8 +14,9 @@
 }
 
 const (
-	// activitySmoothing is the weight of one sample. Samples arrive each half second, so about the
-	// last five seconds count. In the first two seconds of a daemon they arrive faster.
+	// activitySmoothing is the weight of one sample, from 0 to 1. Samples arrive each half second,
+	// so about the last five seconds count. In the first two seconds of a balancer they arrive
+	// faster.
 	activitySmoothing = 0.1
 	// minSampleFlows is the number of flows below which a sample is ignored as too small.
 	minSampleFlows = 20
@@ -27,7 +28,8 @@
 	service string
 }
 
-// zoneLoad is the load last received for a zoneService.
+// zoneLoad is the load last received for a zoneService. A slot is one request that an upstream
+// works on at a time, see registry.Registration.
 type zoneLoad struct {
 	flowsPerSlot float64
 	receivedAt   time.Time
@@ -56,8 +58,8 @@
 	return out
 }
 
-// SampleServiceLoads adds a sample of what the whole zone counts of each service. It is called as
-// often as loads are advertised. The flows of one balancer are too few: with fifty of them, the
+// SampleServiceLoads adds a sample of what the whole zone counts of each service. It is called for
+// each report of the zone's sum. The flows of one balancer are too few: with fifty of them, the
 // requests in progress vary by a half from sample to sample.
 func (e *Engine) SampleServiceLoads(list []peer.ServiceLoad) {
 	for _, s := range list {
--- a/internal/connection/cookie/open.go
+++ b/internal/connection/cookie/open.go
@@ -7,7 +7,8 @@
 	"github.com/fescueshed/fescueshed/internal/version/bundle"
 )
 
-// decideFirst decides on a first packet.
+// decideFirst decides on a first packet, which is one that requests a new flow, or a retransmission
+// of it.
 func (e *Engine) decideFirst(p *Packet, r *bundle.CallerRoute, now time.Time) Verdict {
 	f := e.flows[p.Key]
 	if f == nil {
@@ -90,8 +91,8 @@
 }
 
 // choose returns the policy's choice among the service's upstreams that may take a flow of the
-// route, except for the given ones, or nil. If there is none, it tries again with those that are
-// only suspected or ejected.
+// route, except for the given ones. If there is none, it tries again with those that are suspects
+// or ejected too. It returns nil if there is none either.
 func (e *Engine) choose(
 	r *bundle.CallerRoute, s *bundle.ServiceRoute, seed uint64, exclude []*Upstream, now time.Time,
 ) *Upstream {
--- a/internal/connection/cookie/pending.go
+++ b/internal/connection/cookie/pending.go
@@ -19,12 +19,13 @@
 }
 
 const (
-	// suspicionShare is the share of a route's objective for which a request may wait before its
-	// upstream becomes a suspect: most of the objective is left for the detection, and for the
-	// caller's next attempt elsewhere.
+	// suspicionShare is the share of a route's objective, the time in which its requests are to be
+	// answered, for which a request may wait before its upstream becomes a suspect: most of the
+	// objective is left for the detection, and for the caller's next attempt elsewhere.
 	suspicionShare = 0.3
 	// minTypicalLatencies times the typical latency of the service is the least time for which a
-	// request may wait: an upstream that is no slower than is typical isn't to be probed.
+	// request may wait, up to maxSuspicionDelay: an upstream that is no slower than is typical
+	// isn't to be probed.
 	minTypicalLatencies = 3
 	// minSuspicionDelay and maxSuspicionDelay bound that wait. Any upstream lets some requests wait
 	// for longer than the minimum; callers retransmit a packet after the maximum.
@@ -32,7 +33,7 @@
 	maxSuspicionDelay = 200 * time.Millisecond
 	// suspicionDelayStep is the unit of the wait: each multiple that is in use has a queue.
 	suspicionDelayStep = 10 * time.Millisecond
-	// typicalLatencySmoothing is the weight of one answer in the typical latency.
+	// typicalLatencySmoothing is the weight of one answer in the typical latency, from 0 to 1.
 	typicalLatencySmoothing = 1.0 / 32
 )
 
--- a/internal/connection/cookie/probe.go
+++ b/internal/connection/cookie/probe.go
@@ -53,8 +53,8 @@
 	Upstream *bundle.UpstreamRoute
 	// Registered is false for an upstream that is no longer registered.
 	Registered bool
-	// Reference is another upstream that was seen lately, to be probed while the probe waits: if it
-	// doesn't answer quickly either, the fault is on this host's side and a timeout shows nothing.
+	// Reference is another upstream in good health, to be connected to while the probe waits: if it
+	// doesn't accept quickly either, the fault is on this host's side and a timeout shows nothing.
 	// It is nil if there is none.
 	Reference *bundle.UpstreamRoute
 	// Check is set if the upstream isn't a suspect: whether it accepts a connection quickly shows
--- a/internal/connection/cookie/restart.go
+++ b/internal/connection/cookie/restart.go
@@ -17,7 +17,8 @@
 	confirmationGap = 1500 * time.Millisecond
 )
 
-// confirmationRun is the present run of confirmations of the registrations without a gap.
+// confirmationRun is the present run of confirmations of the registrations without a gap longer
+// than confirmationGap.
 type confirmationRun struct {
 	// since is when the present run of confirmations began, previousEnd the last confirmation of
 	// the run before it, zero if there was none.
@@ -32,10 +33,11 @@
 }
 
 // formerIncarnationUntil returns a time until which only the former incarnation of an upstream can
-// have run, given that a registration of a new one arrives now: up to then the registrations still
-// had the former entry. While the store was unavailable, and for as long afterwards as an upstream
-// needs to write its entry again, they don't show that. Upstreams that restarted meanwhile served
-// flows under their former entries, and a reset would break those flows.
+// have run, given that a registration of a new one arrives now. An incarnation is one run of the
+// upstream's process under its identifier. Up to that time the registrations still had the former
+// entry. While the store was unavailable, and for as long afterwards as an upstream needs to write
+// its entry again, they don't show that. Upstreams that restarted meanwhile served flows under
+// their former entries, and a reset would break those flows.
 func (e *Engine) formerIncarnationUntil(u *Upstream) time.Time {
 	last := e.confirmed
 	if !u.registered && u.deregisteredAt.Before(last) {
--- a/internal/connection/cookie/upstream.go
+++ b/internal/connection/cookie/upstream.go
@@ -71,7 +71,8 @@
 	// incarnationSeen is when the registration of the present incarnation was received, zero if no
 	// restart was seen.
 	incarnationSeen time.Time
-	// warmingUntil is when the upstream is no longer slow after its start.
+	// warmingUntil is when the upstream is no longer slow after its start. sendTimes holds when it
+	// got new flows before that.
 	warmingUntil time.Time
 	sendTimes    sendTimes
 	// registered is set while the upstream is registered; deregisteredAt is since when it isn't.
@@ -94,13 +95,15 @@
 	// probesInFlight is the number of probes under way. The last one was sent at lastProbe.
 	probesInFlight int
 	lastProbe      time.Time
-	// unaccepted is how many probes were reported as pending since the upstream became a suspect,
-	// see Engine.ProbePending.
+	// unaccepted is how many probes were reported as pending, see Engine.ProbePending, since the
+	// upstream became a suspect or a probe showed nothing. nextProbe is the earliest time of the next probe, timeouts how many
+	// probes in a row timed out.
 	unaccepted int
 	nextProbe  time.Time
 	timeouts   int
 	// outcomes are those of requests that passed this balancer. Until ejectedUntil, the upstream
-	// gets no new flow, since too many requests failed there over the whole zone.
+	// gets no new flow, since too many requests failed there over the whole zone. ejections is the
+	// number of its ejections, maxEjectSteps at most.
 	outcomes     outcomes
 	ejectedUntil time.Time
 	ejections    int
--- a/internal/connection/cookie/warmup.go
+++ b/internal/connection/cookie/warmup.go
@@ -18,8 +18,8 @@
 // sendTimes holds when flows were sent to an upstream while it was slow, oldest first.
 type sendTimes struct{ sent []time.Time }
 
-// allows reports whether one more may be sent with at most n in any warmupWindow. It drops older
-// times.
+// allows reports whether one more flow may be sent if at most n are allowed in any warmupWindow. It
+// drops older times.
 func (s *sendTimes) allows(n int, now time.Time) bool {
 	for len(s.sent) > 0 && now.Sub(s.sent[0]) >= warmupWindow {
 		s.sent = s.sent[1:]
@@ -44,7 +44,8 @@
 	return u.sendTimes.allows(e.opts.WarmupLimiter.Share(u.Route.ID, rate), now)
 }
 
-// recordWarmupFlow notes that a new flow was placed at an upstream, if its warm-up limits them.
+// recordWarmupFlow notes that a new flow is placed at an upstream, if its warm-up limits the number
+// of new flows.
 func (e *Engine) recordWarmupFlow(u *Upstream, now time.Time) {
 	if u.Route.Service.WarmupRate > 0 && now.Before(u.warmingUntil) {
 		u.sendTimes.add(now)
--- a/internal/connection/cookie/zonehealth.go
+++ b/internal/connection/cookie/zonehealth.go
@@ -19,7 +19,7 @@
 }
 
 const (
-	// zoneSuspectTTL is how long a zone that may be cut off gets no new flows. Reports of its free
+	// zoneSuspectTTL is how long a zone that may be cut off is a suspect. Reports of its free
 	// capacity may still arrive for as long, from members that received them before.
 	zoneSuspectTTL = 2 * time.Second
 	// minSilentTogether is how many upstreams of a zone must leave a connection unaccepted at the
--- a/internal/connection/peer/advertisement.go
+++ b/internal/connection/peer/advertisement.go
@@ -10,21 +10,24 @@
 	"github.com/fescueshed/fescueshed/internal/version/registry"
 )
 
-// Advertisement is what a daemon that holds the store's content sends to others. It carries the
-// latest changes, so that a member that received the previous advertisement needs nothing else.
+// Advertisement is what a daemon that holds the store's content sends to others: the positions as
+// of which it holds the bundle, the registrations and the evacuated zones, a digest of each list,
+// and the latest changes of the registrations, so that a member that received the previous
+// advertisement needs nothing else, unless there is a newer bundle.
 type Advertisement struct {
 	_ struct{} `cbor:",toarray"`
 	// From is the daemon that read the store, or that sent its zone what it received from another
-	// zone. Members of a large zone forward its advertisements.
+	// zone. Members of a large zone relay its advertisements.
 	From ID
 	// Age is how long ago the store last confirmed all of this.
 	Age time.Duration
-	// SuspicionPeriod is for how long the sender keeps upstreams that vanish from the store.
+	// SuspicionPeriod is for how much longer the sender keeps upstreams in use that vanish from the
+	// store, see registry.Catalog.RemovalSuspicion.
 	SuspicionPeriod time.Duration
 	// AsOf and Digest identify the sender's registrations, see registry.Catalog.
 	AsOf   objects.Position
 	Digest uint64
-	// Bundle is the version that the sender has in force, BundleAsOf the revision up to which the
+	// Bundle is the version that the sender has in force, BundleAsOf the position up to which the
 	// store is known to contain no newer one.
 	Bundle     bundle.Version
 	BundleAsOf objects.Position
@@ -107,7 +110,7 @@
 }
 
 // ZoneLoad is how many flows the usable upstreams of a service hold in a zone, and how many
-// requests they can process at the same time.
+// requests they can process at the same time (Slots).
 type ZoneLoad struct {
 	_       struct{} `cbor:",toarray"`
 	Zone    bundle.Zone
@@ -137,8 +140,8 @@
 }
 
 // Report is what a member sends to its parent, together with what its children sent it, up to the
-// daemon that reads the store for its zone. That daemon sends the sum over all members back to
-// them.
+// zone reader, which sends the sum over all members back to them. Zone readers also send each other
+// the loads of their zones, and any daemon reports upstreams that it found dead.
 type Report struct {
 	_    struct{} `cbor:",toarray"`
 	From ID
@@ -152,10 +155,10 @@
 	DeadOnly bool
 	// Services are counted like Loads.
 	Services []ServiceLoad
-	// Zones are the loads of whole zones: that of the sender's own zone if the sender reads the
-	// store for it and sends to another zone, those of all zones if it sends to its members.
+	// Zones are the loads of whole zones: that of the sender's own zone if the zone reader sends to
+	// another zone, those of other zones if it sends to its members.
 	Zones []ZoneLoad
-	// Sequence grows with each report of a daemon that others forward.
+	// Sequence grows with each report of a daemon that others relay.
 	Sequence uint64
 	// StoreLost says that the sender is alive but has no recent content of the store: its own calls
 	// aren't answered, or nobody advertises to it the answers that another daemon received.
@@ -173,7 +176,8 @@
 	return nil
 }
 
-// Catalog is all that a daemon knows of the store's content, for a daemon that lacks some of it.
+// Catalog is all that a daemon knows of the store's content, for a daemon that lacks some of it. It
+// is a message, unlike registry.Catalog, which holds a daemon's registrations.
 type Catalog struct {
 	_ struct{} `cbor:",toarray"`
 	// Complete says that the sender holds all of the store's content, Age how long ago the store
@@ -183,9 +187,10 @@
 	// Version is the bundle that the sender has in force, BundleAsOf is as in Advertisement. Update
 	// leads to Version from the version that the requester has. It is empty if the requester has
 	// Version or a newer one.
-	Version         bundle.Version
-	BundleAsOf      objects.Position
-	Update          PackedUpdate
+	Version    bundle.Version
+	BundleAsOf objects.Position
+	Update     PackedUpdate
+	// AsOf, Digest and SuspicionPeriod are as in Advertisement.
 	AsOf            objects.Position
 	Digest          uint64
 	SuspicionPeriod time.Duration
--- a/internal/connection/peer/codec.go
+++ b/internal/connection/peer/codec.go
@@ -47,10 +47,12 @@
 	Accept [][]byte
 }
 
-// ErrMAC is returned for a message that wasn't written by a daemon with an accepted secret.
+// ErrMAC is returned for a message that wasn't written by a daemon with an accepted secret, or that
+// is of another protocol.
 var ErrMAC = eris.New("peer: message authentication failed")
 
 const (
+	// macBytes is the size of an authentication code.
 	macBytes = 16
 	// maxElements bounds arrays before they are allocated. The largest ones are those of the
 	// upstreams, of which a system has up to 110,000.
--- a/internal/connection/peer/contacts.go
+++ b/internal/connection/peer/contacts.go
@@ -22,7 +22,7 @@
 	Name    string
 	Zone    bundle.Zone
 	Control netip.AddrPort
-	// Size is the size of the member, zero if the daemon that wrote the contact didn't send it.
+	// Size is Member.Size, zero if the daemon that wrote the contact didn't send it.
 	Size uint32
 }
 
--- a/internal/connection/peer/fanout.go
+++ b/internal/connection/peer/fanout.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Tree is one of the two trees along which the members of a large zone forward what its store
+// Tree is one of the two trees along which the members of a large zone relay what its zone
 // reader advertises. A member that has children in one tree has none in the other. If any one
 // member dies or freezes, all others still receive the advertisement, because its children receive
 // it through the other tree. With a single tree, all members below it would read the store
@@ -28,7 +28,7 @@
 
 // Recipients returns the members to which this daemon sends an advertisement, in both trees. origin
 // says that it read the store itself or received the content from another zone. Otherwise it
-// forwards what a member of its own zone sent.
+// relays what a member of its own zone sent.
 func (v *View) Recipients(origin bool) []*Member {
 	out := v.Children(TreeForward, origin)
 	for _, m := range v.Children(TreeBackward, origin) {
@@ -66,8 +66,8 @@
 	return out
 }
 
-// Parent returns the member that receives this daemon's report, nil for the zone's store reader.
-// All daemons agree on the order of readers, and a parent comes before its children in it, so
+// Parent returns the member that receives this daemon's report, nil for the zone reader.
+// All daemons agree on the reader order, and a parent comes before its children in it, so
 // reports never go round in a circle.
 func (v *View) Parent() *Member {
 	zone := v.zoneInReaderOrder()
@@ -85,7 +85,7 @@
 // parent.
 func (v *View) Reporters() []*Member { return v.Children(TreeForward, v.IsZoneReader()) }
 
-// treePosition converts a position in the order of readers into one in a tree, or back. The first
+// treePosition converts a position in reader order into one in a tree, or back. The first
 // member is the root of both trees.
 func treePosition(t Tree, position, n int) int {
 	if t == TreeForward || position == 0 {
--- a/internal/connection/peer/gossip.go
+++ b/internal/connection/peer/gossip.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// gossipUpdate is an update that is still to be sent in as many messages as copies says.
 type gossipUpdate struct {
 	Member
 	copies int
@@ -84,6 +85,7 @@
 	m.epoch++
 }
 
+// recordLost remembers a member that died, for Config.LostWindow.
 func (m *Membership) recordLost(l Member, now time.Time) {
 	m.lost = append(m.lost, lostMember{Member: l, lostAt: now})
 	m.epoch++
--- a/internal/connection/peer/member.go
+++ b/internal/connection/peer/member.go
@@ -1,5 +1,30 @@
 // Package peer tracks the other daemons: which of them are members, which of them own or replicate
-// the record of a flow, and the messages by which they detect each other's failure.
+// the record of a flow, and the messages by which they detect each other's failure and share the
+// store's content.
+//
+// A host runs one daemon, the load balancer's process, and keeps its ID when that restarts. The
+// members are the daemons that know each other, of all zones. A message that one of them writes is
+// accepted by the others if they share its secret (Codec).
+//
+//   - Membership detects by probes which members are alive. A member that doesn't answer them is
+//     suspected: it is declared dead unless it refutes the suspicion in time. Changes reach all
+//     members by gossip, as updates in the probes' messages. A View is a snapshot of the members.
+//   - The owner of a flow is the member that decides on its packets, the replicas are the members
+//     with copies of its record, and the backup is the replica in the upstream's zone. The placer of
+//     a service chooses the upstreams of its new flows. View computes all of them by rendezvous
+//     hashing. Only forwarding by Geneve uses them (package caller).
+//   - The store is the platform's object store. Its content is the newest bundle, the registrations
+//     of upstreams and the evacuated zones. A store reader is a daemon that reads it itself; all
+//     others rely on the Advertisements of a store reader. The ReaderElection and, while a daemon
+//     starts, Startup decide who reads, by the rank of a daemon in reader order (compareReaders).
+//     The zone reader is the first member of a zone in this order. It sends its zone what it
+//     receives from other zones, and needn't be a store reader.
+//   - A Catalog is the answer to a daemon that fetches what advertisements don't cover.
+//   - A Report holds what a daemon counts at upstreams. Reports are summed up along a tree of the
+//     zone's members, and the sum is sent back to them.
+//
+// An upstream that is suspected (package cookie) and a removal of an entry that is suspect (package
+// registry) have nothing to do with the suspicion of a member.
 package peer
 
 import (
@@ -20,7 +45,8 @@
 
 // Incarnation orders the claims about one host. A host that restarts, or that refutes a suspicion,
 // takes a higher incarnation, which supersedes all claims at a lower one. It grows, unless the clock
-// was set back before a restart.
+// was set back before a restart. The incarnation of an upstream is something else: one run of its
+// process.
 type Incarnation uint64
 
 // State is the state that other members believe a member to be in.
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -102,7 +102,8 @@
 	delegatedProbes map[uint32]delegatedProbe
 	seq             uint32
 	ticks           uint64
-	// changedAt is when the set of members last changed, zero if it didn't within RecentWindow.
+	// changedAt is when the owners of flows last changed because a member joined, restarted, began
+	// to leave, left or died, zero if they didn't within RecentWindow.
 	changedAt time.Time
 	// repeatsPossible is true for LostWindow after such a change.
 	repeatsPossible bool
@@ -112,14 +113,17 @@
 	servingSeen bool
 }
 
+// peerState is another member, present or not, with what is known of it here.
 type peerState struct {
 	Member
+	// stateSince is when the entry last changed.
 	stateSince time.Time
 	// recentlyJoined is true for RecentWindow after the member joined or restarted.
 	recentlyJoined bool
 	joinedAt       time.Time
 }
 
+// lostMember is a member that died without handing over its records.
 type lostMember struct {
 	Member
 	lostAt time.Time
@@ -140,7 +144,8 @@
 	}
 }
 
-// Epoch returns a number that grows with each change that is visible in View.
+// Epoch returns a number that grows with each change that is visible in View. The epoch of the store
+// (objects.Epoch) is something else.
 func (m *Membership) Epoch() uint64 { return m.epoch }
 
 // Self returns the daemon's own entry.
@@ -325,7 +330,7 @@
 func (m *Membership) PingAddress(at netip.AddrPort) []Envelope { return []Envelope{m.ping(at)} }
 
 // BootstrapMembers returns the members that a joining member of a zone is sent first: the first
-// readers of the store in its zone, and the first reader of the other zones. From these it can
+// members of its zone in reader order, and the first one of all other zones. From these it can
 // request the rest.
 func (m *Membership) BootstrapMembers(zone bundle.Zone, joining ID) []Member {
 	var own []*Member
@@ -393,6 +398,7 @@
 	return sum
 }
 
+// markChanged notes a change of members by which the owners of flows change.
 func (m *Membership) markChanged(now time.Time) {
 	m.changedAt = now
 	m.repeatsPossible = true
--- a/internal/connection/peer/message.go
+++ b/internal/connection/peer/message.go
@@ -13,7 +13,7 @@
 
 // The kinds of a membership message.
 const (
-	// KindPing requests a KindAck from the receiver.
+	// KindPing requests a KindAck from the receiver, with the same sequence number.
 	KindPing Kind = iota + 1
 	KindAck
 	// KindPingRequest requests that the receiver pings Target on behalf of the sender.
@@ -27,7 +27,8 @@
 	MaxUpdates = 12
 	// MaxMessageBytes is the largest size of an encoded message.
 	MaxMessageBytes = 1400
-	maxNameBytes    = 64
+	// maxNameBytes is the largest size of a member's name.
+	maxNameBytes = 64
 	// MaxFlowCounts bounds Message.Flows. It is more than the number of upstreams of one cell.
 	MaxFlowCounts = 400
 )
@@ -36,7 +37,8 @@
 type Message struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
-	Seq  uint32
+	// Seq identifies a ping among those of its sender. The acknowledgement repeats it.
+	Seq uint32
 	// From is the sender in its present state.
 	From Member
 	// Target is the member to ping for the sender, or the member on whose behalf an acknowledgement
--- a/internal/connection/peer/probe.go
+++ b/internal/connection/peer/probe.go
@@ -8,14 +8,17 @@
 
 // probe is the probe in progress. There is at most one.
 type probe struct {
-	target   ID
-	seq      uint32
-	sentAt   time.Time
+	// target is the member that is probed, zero if no probe is in progress.
+	target ID
+	seq    uint32
+	sentAt time.Time
+	// indirect is set once helpers were requested to probe the target too.
 	indirect bool
 }
 
 // delegatedProbe is a probe made on behalf of another member.
 type delegatedProbe struct {
+	// to is the control address of the member that requested it, seq the number in its request.
 	to     netip.AddrPort
 	seq    uint32
 	sentAt time.Time
--- a/internal/connection/peer/reader.go
+++ b/internal/connection/peer/reader.go
@@ -10,8 +10,8 @@
 )
 
 // ReaderRank returns the rank of this daemon among those that may read the store. Rank 0 reads it
-// for all. The first member of each zone, the zone's reader, ranks after the readers of other zones
-// that come before it in reader order. The other members of a zone rank by their position in the
+// for all. The first member of each zone, its zone reader, ranks after the zone readers of other
+// zones that come before it in reader order. The other members of a zone rank by their position in the
 // zone. Larger hosts come first, since the reader also bears the cost of sending to others, and
 // leaving daemons come last.
 func (v *View) ReaderRank() int {
@@ -38,6 +38,7 @@
 	return self == nil || v.zoneRank(self) == 0
 }
 
+// zoneRank returns how many members of its zone come before this daemon in reader order.
 func (v *View) zoneRank(self *Member) int {
 	rank := 0
 	for i := range v.Members {
@@ -83,7 +84,7 @@
 	return v.ownZone
 }
 
-// OtherZoneReaders returns the first reader of each other zone.
+// OtherZoneReaders returns the zone reader of each other zone, in reader order.
 func (v *View) OtherZoneReaders() []*Member {
 	self := v.byID[v.Self]
 	if self == nil {
@@ -103,8 +104,9 @@
 }
 
 // CatalogSources returns the members from which a starting daemon requests the catalog, in turn.
-// First readers of its own zone alternate with readers of the other zones, because a zone that
-// starts as a whole has no content before its first reader has received it from another zone.
+// The first members of its own zone alternate with the zone readers of the other zones, because a
+// zone that starts as a whole has no content before its zone reader has received it from another
+// zone.
 func (v *View) CatalogSources() []*Member {
 	own, others := v.ZoneMembers(), v.OtherZoneReaders()
 	var out []*Member
@@ -132,6 +134,7 @@
 	)
 }
 
+// stayRank returns 0 for a member that is leaving, 1 for any other.
 func stayRank(m *Member) int {
 	if m.State == StateLeaving {
 		return 0
@@ -155,10 +158,12 @@
 }
 
 // Times of the takeover. With a watch of 800 ms, advertisements every 500 ms and a hop through the
-// zone's reader, recent content is up to 1.4 s old. A configuration must be in force within 3 s of
+// zone reader, recent content is up to 1.4 s old. A configuration must be in force within 3 s of
 // the store's acknowledgement, which is the users' smallest bound. The third in rank reads after
 // 2.2 s.
 const (
+	// A daemon reads once the content that it received last is older than takeOverAfter plus
+	// takeOverStep for each daemon that ranks before it.
 	takeOverAfter = 1800 * time.Millisecond
 	takeOverStep  = 200 * time.Millisecond
 	// takeOverSteps bounds the delay: the fourth in rank and all behind it wait equally long.
--- a/internal/connection/peer/startup.go
+++ b/internal/connection/peer/startup.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Startup decides whether a daemon that can't place flows yet reads the store itself. When a whole
-// fleet starts, the store's rate of calls and its link are the scarcest resources. So a daemon
-// reads only if a caller waits or may be waiting for it, if it is the one that reads for all, or if
-// it didn't receive the store's content in time. All others request it from members. It is a value
-// and safe for concurrent use.
+// Startup decides whether a daemon that can't place flows yet reads the store itself. The seeds are
+// the hosts that its settings name, by which it finds the other daemons. When a whole fleet starts,
+// the store's rate of calls and its link are the scarcest resources. So a daemon reads only if a
+// caller waits or may be waiting for it, if it is the one that reads for all, or if it didn't
+// receive the store's content in time. All others request it from members. It is a value and safe
+// for concurrent use.
 type Startup struct {
 	// StartedAt is when the daemon started.
 	StartedAt time.Time
--- a/internal/connection/peer/sum.go
+++ b/internal/connection/peer/sum.go
@@ -8,10 +8,10 @@
 )
 
 // StartupReportPeriod is the time between two reports of loads in the first two seconds of a daemon
-// (startupReportWindow). All hosts may have lost power. Each then places the flows that callers
-// held back within half a second, without knowing the placements of the others. If loads were sent
-// each half second only, all would send to the same upstreams in that time, which would shed
-// requests while others have free capacity.
+// (startupReportWindow). If all hosts lost power, each of them then places the waiting callers'
+// flows within half a second, without knowing the placements of the others. If loads were sent each
+// half second only, all would send to the same upstreams in that time, which would shed requests
+// while others have free capacity.
 const (
 	StartupReportPeriod = 100 * time.Millisecond
 	startupReportWindow = 2 * time.Second
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -46,7 +46,7 @@
 	// RepeatsPossible is true after a change for as long as a caller may repeat a message whose
 	// first copy went through the flow's previous owner.
 	RepeatsPossible bool
-	// Lost are members that died without handing over their records.
+	// Lost are members that died within Config.LostWindow without handing over their records.
 	Lost []Member
 	// RecentlyJoined are members that joined or restarted recently. Records that the ranking
 	// assigns to them may still be at the member that ranks next.
--- a/internal/connection/peer/warmup.go
+++ b/internal/connection/peer/warmup.go
@@ -16,10 +16,11 @@
 	// lastSeen holds when each member of the zone was last present, alive how many are present now.
 	lastSeen map[ID]time.Time
 	alive    int
-	// maxAlive is the largest number of members that the zone had recently, maxAliveAt is when.
+	// maxAlive is the largest number of members that the zone had within zoneSizeWindow, maxAliveAt
+	// is when it last had as many.
 	maxAlive   int
 	maxAliveAt time.Time
-	// joinedAt is the time from which this daemon knows the others.
+	// joinedAt is the time from which this daemon knows the others, now that of the last Update.
 	joinedAt time.Time
 	now      time.Time
 }
--- a/internal/process/cookiedaemon/advertisement.go
+++ b/internal/process/cookiedaemon/advertisement.go
@@ -16,8 +16,8 @@
 	maxAdvertisedAge = 1500 * time.Millisecond
 )
 
-// advertise sends what this daemon holds of the store's content to its zone and to the store
-// readers of other zones, if this daemon is a store reader.
+// advertise sends what this daemon holds of the store's content to its zone and to the zone readers
+// of other zones, if this daemon is a store reader.
 func (m *members) advertise(now time.Time) {
 	v := m.view.Load()
 	m.daemon.mu.Lock()
@@ -28,9 +28,9 @@
 	}
 }
 
-// relayAdvertisement relays what this daemon received from another one, origin. A zone's store
-// reader sends its zone what another zone's store reader advertised. In a large zone each member
-// relays to its children, once.
+// relayAdvertisement relays what this daemon received from another one, origin. A zone reader sends
+// its zone what a daemon of another zone advertised. In a large zone each member relays to its
+// children, once.
 func (m *members) relayAdvertisement(origin peer.ID, now time.Time) {
 	v := m.view.Load()
 	if v.IsZoneReader() {
--- a/internal/process/cookiedaemon/bundle.go
+++ b/internal/process/cookiedaemon/bundle.go
@@ -12,7 +12,7 @@
 
 // bundlesPosition returns the position from which to watch the store's bundles, or zero if they
 // must be listed. A daemon that takes over from a failed reader holds the bundle already: on a slow
-// link, listing it takes longer than the take-over may.
+// link, listing it takes longer than the takeover may.
 func (d *Daemon) bundlesPosition() objects.Position {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/process/cookiedaemon/catalog.go
+++ b/internal/process/cookiedaemon/catalog.go
@@ -21,8 +21,9 @@
 	// pullTimeout is how long another daemon may take to begin its answer to a request for its
 	// catalog.
 	pullTimeout = time.Second
-	// pullPause and urgentPause are the shortest pauses between two fetches. Without them, a member
-	// that receives different lists from two store readers would saturate the link of a small host.
+	// pullPause is the mean pause after a fetch, urgentPause the pause after an urgent one. Without
+	// them, a member that receives different lists from two store readers would saturate the link
+	// of a small host.
 	pullPause   = 500 * time.Millisecond
 	urgentPause = 100 * time.Millisecond
 	// minJoinSlots is how many starting daemons a small host serves a catalog to at the same time,
@@ -37,8 +38,10 @@
 	codeBusy = 1
 )
 
-// pull fetches the catalog of another daemon in the background, one fetch at a time. A differing
-// list can wait longer than a new bundle: the store's readers differ for moments.
+// pull fetches the catalog of another daemon in the background, one fetch at a time. It does nothing
+// while another fetch or the pause after it lasts. A fetch is urgent if this daemon lacks a bundle
+// or evacuated zones. A differing list can wait longer: the lists of store readers differ for
+// moments.
 func (m *members) pull(from netip.AddrPort, urgent bool) {
 	if !m.fetching.CompareAndSwap(false, true) {
 		return
@@ -188,6 +191,7 @@
 	return nil
 }
 
+// handleRPC answers requests of other daemons for this daemon's catalog.
 func (m *members) handleRPC(_ context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	if r.Method != peer.MethodCatalog {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "unknown method " + r.Method}
--- a/internal/process/cookiedaemon/contacts.go
+++ b/internal/process/cookiedaemon/contacts.go
@@ -21,8 +21,8 @@
 	// firstStartAloneDelay replaces aloneDelay at the first start of a system: no contacts have
 	// been written yet, and no callers wait.
 	firstStartAloneDelay = 2 * time.Second
-	// contactsCheckPeriod is how often the store reader checks whether the contacts in the store
-	// are out of date, judged by what it has read of them. contactsReadPeriod is how often it reads
+	// contactsCheckPeriod is how often the first store reader checks whether the contacts in the
+	// store are out of date, judged by what it has read of them. contactsReadPeriod is how often it reads
 	// them again, so that two parts of a split system find each other.
 	contactsCheckPeriod = 2 * time.Second
 	contactsReadPeriod  = 2 * time.Minute
@@ -77,10 +77,11 @@
 	}
 }
 
-// writes reports whether this daemon maintains the contacts now: it is the store reader of the
-// whole system, and started long enough ago to know the other daemons.
+// writes reports whether this daemon maintains the contacts now: it is the store reader that ranks
+// first in the whole system, and started long enough ago to know the other daemons.
 func (c *contacts) writes(now time.Time) bool {
-	return now.Sub(c.daemon.started) > JoinDuration && c.daemon.members.view.Load().ReaderRank() == 0 && c.daemon.shouldReadStore(now)
+	return now.Sub(c.daemon.started) > JoinDuration && c.daemon.members.view.Load().ReaderRank() == 0 &&
+		c.daemon.shouldReadStore(now)
 }
 
 // findMembers contacts the daemons that the contacts in the store name, if there are any.
--- a/internal/process/cookiedaemon/daemon.go
+++ b/internal/process/cookiedaemon/daemon.go
@@ -25,9 +25,11 @@
 const (
 	// tickPeriod is how often the process records that it is running. It is much shorter than
 	// pauseLimit, even on a host that is given its CPU share in slices of a tenth of a second.
-	tickPeriod       = 50 * time.Millisecond
+	tickPeriod = 50 * time.Millisecond
+	// memberTickPeriod is how often the timers of the membership are checked.
 	memberTickPeriod = 100 * time.Millisecond
-	sweepPeriod      = 500 * time.Millisecond
+	// sweepPeriod is how often flows expire and loads and advertisements are sent.
+	sweepPeriod = 500 * time.Millisecond
 	// pauseLimit is how long the process may stand still before it is treated as paused. A shorter
 	// limit would treat a host that has used up its CPU share for a tenth of a second as paused.
 	// Callers retransmit a first packet after 200 ms, and only copies older than the next
@@ -48,8 +50,9 @@
 	// answerSeconds and probeSeconds are histograms of durations in seconds.
 	answerSeconds, probeSeconds metrics.Histogram
 	started                     time.Time
-	leaving                     atomic.Bool
-	start                       *startup
+	// leaving is set once Leave was called.
+	leaving atomic.Bool
+	start   *startup
 	// unusable counts stored objects that could not be used, once for each read.
 	unusable        atomic.Uint64
 	departure       departure
@@ -68,7 +71,7 @@
 }
 
 // New opens the sockets of a daemon and starts its parts. The returned clean-up function stops them
-// immediately; call Leave before it for a graceful shutdown.
+// immediately; call Leave before it for a graceful shutdown. After an error nothing is left running.
 func New(ctx context.Context, cfg *settings.Cookie, p metadata.Platform) (*Daemon, func(), error) {
 	d := &Daemon{
 		platform: p,
@@ -190,7 +193,7 @@
 	d.probes.send(due)
 }
 
-// sweep expires flows and sends this daemon's loads and advertisement.
+// sweep runs every sweepPeriod. It expires flows and sends this daemon's loads and advertisement.
 func (d *Daemon) sweep(now time.Time) {
 	d.mu.Lock()
 	d.warmupLimiter.Update(d.members.view.Load(), now)
--- a/internal/process/cookiedaemon/data.go
+++ b/internal/process/cookiedaemon/data.go
@@ -26,10 +26,10 @@
 }
 
 const (
-	// maxPacketBytes is larger than the largest packet, so that a longer one is detected as too
-	// long instead of being truncated.
+	// maxPacketBytes is the size of the buffer for headroom and packet. It is larger than the
+	// largest packet, so that a longer one is detected as too long instead of being truncated.
 	maxPacketBytes = 2048
-	// socketBufferBytes holds the packets that a small host gets in a second.
+	// socketBufferBytes is enough for the packets that a small host gets in a second.
 	socketBufferBytes = 1 << 20
 	// maxFirstPacketWait is how long first packets may wait for a daemon that isn't ready. Callers
 	// retransmit a first packet after 200 ms, perhaps to another daemon.
@@ -96,6 +96,7 @@
 	return time.Since(arrived) > maxFirstPacketWait, true
 }
 
+// paused tells the engine that the process was paused, and logs it.
 func (d *data) paused(now time.Time) {
 	d.daemon.mu.Lock()
 	d.daemon.engine.Paused(now)
@@ -189,6 +190,7 @@
 	}
 }
 
+// write sends a packet and counts whether it was sent.
 func (d *data) write(b []byte, to netip.AddrPort) {
 	if _, err := d.conn.WriteToUDPAddrPort(b, to); err != nil {
 		d.failed.Add(1) // The caller retransmits lost packets.
@@ -202,6 +204,7 @@
 	return inputs{bundle: d.engine.Version(), listAge: now.Sub(d.state.confirmed[kindUpstreams])}
 }
 
+// drop counts a packet that was dropped without the engine.
 func (d *Daemon) drop(cause cookie.Cause) {
 	d.mu.Lock()
 	d.engine.Counters.Dropped[cause]++
--- a/internal/process/cookiedaemon/departure.go
+++ b/internal/process/cookiedaemon/departure.go
@@ -12,6 +12,7 @@
 	mu sync.Mutex
 	// limit is the longest time that the daemon goes on forwarding.
 	limit time.Duration
+	// began is when the departure began, zero before.
 	began time.Time
 	// refusals counts the readiness checks that were answered with "not ready". outOfRotation is
 	// the time of the one that takes the daemon out of rotation.
--- a/internal/process/cookiedaemon/doc.go
+++ b/internal/process/cookiedaemon/doc.go
@@ -2,6 +2,22 @@
 // platform's store, what it sends to and receives from the other daemons of its zone, its probes,
 // logs and metrics. The decisions themselves are made in packages cookie, registry and peer.
 //
+// Other packages explain most terms: package cookie a flow, caller and upstream, package registry an
+// entry and its incarnations, package objects a position and an epoch of the store, package peer a
+// member, store reader, zone reader, advertisement, catalog and report. Also:
+//
+//	seeds      the hosts in the settings that a daemon contacts to find the others
+//	contacts   members that the first store reader writes to the store, for daemons whose seeds are
+//	           out of date
+//	kind       a kind of the store's objects: bundles, registrations or evacuations
+//	confirmed  a kind is confirmed as of a time if the store's answer then, received directly or from
+//	           another daemon, shows that this daemon holds it as a whole
+//	held       content that stays in use after the store was restored from a snapshot, although the
+//	           store lacks it or has an older one
+//	ready      the daemon can place flows and, as far as routers are told, isn't leaving
+//	relay      to send on a message that another daemon wrote
+//	pull       to fetch a catalog from another daemon in the background
+//
 // Files:
 //
 //	daemon.go                    the daemon: its parts, when it is ready, how it leaves (departure.go)
--- a/internal/process/cookiedaemon/follower.go
+++ b/internal/process/cookiedaemon/follower.go
@@ -66,6 +66,7 @@
 	}
 }
 
+// run follows the kind until ctx ends, whenever this daemon should read the store.
 func (f *follower[T]) run(ctx context.Context) {
 	// Zero means that the kind must be listed.
 	var asOf objects.Position
@@ -294,9 +295,10 @@
 
 // outageAfter is how long confirmations from the store may be missing before entries that are
 // missing afterwards are suspect. Upstreams' entries expire after three heartbeats, 3.6 s. The
-// take-over of a failed store reader takes less than outageAfter.
+// takeover of a failed store reader takes less than outageAfter.
 const outageAfter = 2800 * time.Millisecond
 
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/process/cookiedaemon/http.go
+++ b/internal/process/cookiedaemon/http.go
@@ -18,6 +18,7 @@
 	"github.com/fescueshed/fescueshed/internal/version/transfer"
 )
 
+// readHeaderTimeout bounds the time in which a client must send the headers of a request.
 const readHeaderTimeout = 5 * time.Second
 
 func (d *Daemon) startReadiness(ctx context.Context) (func(), error) {
--- a/internal/process/cookiedaemon/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -12,7 +12,7 @@
 )
 
 // zoneLoads sums up what this daemon and its children in the report tree count at upstreams. At the
-// zone's store reader, which is the root, the sum covers the whole zone. Each member sends one
+// zone reader, which is the root, the sum covers the whole zone. Each member sends one
 // report to its parent and receives one sum, so the cost of a member doesn't grow with the number
 // of members. zoneLoads is safe for concurrent use.
 type zoneLoads struct {
@@ -45,12 +45,14 @@
 	return &zoneLoads{reports: make(map[peer.ID]receivedReport), zoneReports: make(map[peer.ID]receivedZoneReport)}
 }
 
+// putReport stores the last report of this daemon or of a member that takes it for its parent.
 func (z *zoneLoads) putReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.reports[r.From] = receivedReport{at: now, report: r}
 }
 
+// putZoneReport stores the loads that the zone reader of another zone sent.
 func (z *zoneLoads) putZoneReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -74,7 +76,7 @@
 
 // sum returns the sum of this daemon's last report and those of its children, the busiest upstreams
 // first. Reports of other members are left out: they were sent here while this daemon was taken for
-// their parent, and their present parent counts them too. Otherwise, a zone whose store reader is
+// their parent, and their present parent counts them too. Otherwise, a zone whose zone reader is
 // cut off in one direction, and is seen alive and dead alternately by the others, would seem twice
 // as loaded as it is, and would send its flows to other zones.
 func (z *zoneLoads) sum(self peer.ID, children []*peer.Member, now time.Time) *peer.Report {
@@ -93,9 +95,8 @@
 	return peer.SumReports(self, reports)
 }
 
-// sendLoads sends the counts of this daemon and its children to its parent. A daemon that is its
-// zone's store reader instead sends the sum to its whole zone, and the zone's load to the store
-// readers of other zones.
+// sendLoads sends the counts of this daemon and its children to its parent. The zone reader instead
+// sends the sum to its whole zone, and the zone's load to the zone readers of other zones.
 func (m *members) sendLoads(now time.Time) {
 	v := m.view.Load()
 	m.loads.putReport(m.daemon.ownReport(v.Self), now)
@@ -117,6 +118,7 @@
 	send(m, protocolReport, m.reports, own, v.OtherZoneReaders())
 }
 
+// ownZone returns the loads of this daemon's zone by service, as many as fit in a report.
 func (d *Daemon) ownZone() []peer.ZoneLoad {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,6 +126,8 @@
 	return list[:min(len(list), peer.MaxZones)]
 }
 
+// receiveReport handles the four forms of a report: upstreams found dead, the sum of this daemon's
+// zone, the load of another zone, and the counts of a member and its children.
 func (m *members) receiveReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
 	if r.StoreLost && m.daemon.noteStoreLost(now) && !r.IsSum {
--- a/internal/process/cookiedaemon/log.go
+++ b/internal/process/cookiedaemon/log.go
@@ -15,6 +15,7 @@
 // decisionLog logs each decision that begins or ends a flow or loses a packet, with a rate limit
 // for each cause. It is safe for concurrent use.
 type decisionLog struct {
+	// mu guards limiters.
 	mu       sync.Mutex
 	limiters [cookie.NumCauses]*logs.Limiter
 	leftOut  atomic.Uint64
@@ -68,6 +69,7 @@
 	klog.InfoS(actionLines[cookie.ActionReset], appendRoute(kv, r.Upstream, left)...)
 }
 
+// allow reports whether a line with a cause may be logged, and how many were left out before it.
 func (l *decisionLog) allow(c cookie.Cause, now time.Time) (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/process/cookiedaemon/members.go
+++ b/internal/process/cookiedaemon/members.go
@@ -29,9 +29,11 @@
 
 // members communicates with the other daemons.
 type members struct {
-	daemon         *Daemon
-	ctx            context.Context
-	ports          *udpport.Ports
+	daemon *Daemon
+	ctx    context.Context
+	ports  *udpport.Ports
+	// swim, advertisements, reports and catalog encode and decode the messages between daemons:
+	// those of the membership, advertisements, reports and catalogs.
 	swim           *peer.SequencedCodec[peer.Message, *peer.Message]
 	advertisements *peer.SequencedCodec[peer.Advertisement, *peer.Advertisement]
 	reports        *peer.SequencedCodec[peer.Report, *peer.Report]
@@ -57,13 +59,17 @@
 	// mu guards the fields below.
 	mu         sync.Mutex
 	membership *peer.Membership
-	viewEpoch  uint64
-	nextSeed   time.Time
+	// viewEpoch is the Epoch of membership that view shows.
+	viewEpoch uint64
+	// nextSeed is when the seeds are contacted next.
+	nextSeed time.Time
 	// seedPeriod is the pause after the next request to the seeds.
 	seedPeriod time.Duration
 
+	// received and sent count datagrams, dropped those received that couldn't be used.
 	received, sent, receivedBytes, sentBytes, dropped atomic.Uint64
-	// pulls counts fetches from other daemons. pullLines limits the log lines about failed fetches.
+	// pulls counts fetches from other daemons. pullLines limits the log lines about incomplete ones;
+	// mu guards it.
 	pulls     transfer.Counts
 	packer    peer.Packer
 	pullLines *logs.Limiter
@@ -169,6 +175,7 @@
 	m.catalog.SetKeys(k)
 }
 
+// handleDatagram handles a datagram of another daemon, whose first byte is the protocol.
 func (m *members) handleDatagram(from netip.AddrPort, b []byte) {
 	m.received.Add(1)
 	m.receivedBytes.Add(uint64(len(b)))
@@ -228,6 +235,7 @@
 	}
 }
 
+// write sends a datagram, from a port that wasn't used before if fresh is set, and counts it.
 func (m *members) write(b []byte, to netip.AddrPort, fresh bool) {
 	if m.ports.Send(b, to, fresh) {
 		m.sent.Add(1)
--- a/internal/process/cookiedaemon/probe.go
+++ b/internal/process/cookiedaemon/probe.go
@@ -38,12 +38,14 @@
 	}, nil
 }
 
+// send starts the given probes, each in a goroutine of its own.
 func (p *probes) send(due []cookie.Probe) {
 	for _, probe := range due {
 		p.wg.Go(func() { p.probe(probe) })
 	}
 }
 
+// probe sends one probe and passes its result to the engine.
 func (p *probes) probe(pr cookie.Probe) {
 	sent := time.Now()
 	p.sent.Add(1)
@@ -111,12 +113,12 @@
 	once              sync.Once
 }
 
-// unacceptedDivisor divides the probe's time-out. If a connection isn't accepted within that part
-// of the time-out, the reference is connected to.
+// unacceptedDivisor divides the probe's timeout. If a connection isn't accepted within that part
+// of the timeout, the reference is connected to.
 const unacceptedDivisor = 4
 
 // scheduleUnacceptedCheck is called just before the attempt's first packet is sent. If the
-// connection isn't accepted within its part of the time-out, though the reference accepts, the
+// connection isn't accepted within its part of the timeout, though the reference accepts, the
 // upstream is reported as unaccepted.
 func (a *attempt) scheduleUnacceptedCheck(conn syscall.RawConn) {
 	timeout := time.Duration(a.p.daemon.cfg.Load().ProbeTimeout)
@@ -195,9 +197,11 @@
 	return time.Since(began) < time.Duration(p.daemon.cfg.Load().ProbeTimeout)/quickDivisor
 }
 
-// quickDivisor divides the probe's time-out. A healthy upstream accepts within that part of it.
+// quickDivisor divides the probe's timeout. A healthy upstream accepts within that part of it.
 const quickDivisor = 5
 
+// identify requests the upstream's health over an accepted connection, to detect another upstream at
+// its address. It closes the connection.
 func (p *probes) identify(conn net.Conn, pr cookie.Probe) cookie.ProbeResult {
 	t := &http.Transport{
 		DisableKeepAlives: true,
--- a/internal/process/cookiedaemon/relay.go
+++ b/internal/process/cookiedaemon/relay.go
@@ -17,6 +17,8 @@
 	last map[peer.ID]seenSequence
 }
 
+// seenSequence is the last sequence number of a daemon's reports that counted as new, and when it was
+// received.
 type seenSequence struct {
 	sequence uint64
 	at       time.Time
--- a/internal/process/cookiedaemon/start.go
+++ b/internal/process/cookiedaemon/start.go
@@ -61,8 +61,8 @@
 }
 
 const (
-	// otherKindTimeout is more than the time between the arrivals of the two lists, on small hosts
-	// too.
+	// otherKindTimeout bounds the wait for the lists of the other kinds after one has been read. It
+	// is more than the time between their arrivals, on small hosts too.
 	otherKindTimeout = 200 * time.Millisecond
 	// startPoll is how often a daemon that isn't ready checks whether it should read the store.
 	startPoll = 10 * time.Millisecond
@@ -72,7 +72,7 @@
 	// startFetchTimeout bounds a request for a catalog during the start. A list of 300 upstreams
 	// takes 50 ms on a host with a sixteenth of a core.
 	startFetchTimeout = 250 * time.Millisecond
-	// largeListBytes is the size of a page in bytes from which a list counts as large: the size for
+	// largeListBytes is the size of a page from which a list counts as large: the size for
 	// some 400 upstreams, which a host with a sixteenth of a core and 20 Mbit/s takes 100 ms to
 	// read. Fetching the contacts and then a catalog from a larger member takes such a host 80 ms,
 	// however long the list is.
--- a/internal/version/registry/catalog.go
+++ b/internal/version/registry/catalog.go
@@ -19,8 +19,7 @@
 	// that are usable and don't drain.
 	digest uint64
 	ready  int
-	// retained holds entries that the store has removed but that stay in use for a while, each with
-	// the time until which it does.
+	// retained holds entries that the store has removed but that stay in use for a while.
 	retained map[bundle.UpstreamID]retainedEntry
 	// log holds the latest changes, for members that lack only a few.
 	log []logEntry
@@ -41,11 +40,13 @@
 	suspectUntil time.Time
 }
 
+// retainedEntry is an entry that the store has removed and that stays in use until a time.
 type retainedEntry struct {
 	Registration
 	until time.Time
 }
 
+// logEntry is a change that was applied at a time, from a list or from changes as of a position.
 type logEntry struct {
 	at     time.Time
 	asOf   objects.Position
@@ -56,13 +57,13 @@
 	// removalGrace is how long after the store's recovery a removed entry stays in use. Upstreams
 	// need up to about two seconds to register again; the rest is the time of one watch.
 	removalGrace = 2500 * time.Millisecond
-	// massRemovalShare is the share of the ready entries from which on a simultaneous removal is
-	// suspect. The loss of one zone of three, which is a tolerated failure, stays below it.
+	// massRemovalShare is the share (0 to 1) of the ready entries from which on a simultaneous removal
+	// is suspect. The loss of one zone of three, which is a tolerated failure, stays below it.
 	massRemovalShare = 0.5
 	// massRemovalMin is the number of simultaneously removed entries below which none is suspect.
 	massRemovalMin = 3
-	// maxLogEntries bounds the log; a member that is further behind is sent the whole list. The log
-	// holds some seconds of a rolling replacement of thousands of upstreams.
+	// maxLogEntries is the largest number of changes in the log; a member that is further behind is sent
+	// the whole list. The log holds some seconds of a rolling replacement of thousands of upstreams.
 	maxLogEntries = 2048
 )
 
@@ -136,6 +137,7 @@
 	return c.advance(changes, asOf, now)
 }
 
+// advance applies changes that lead to asOf and sets AsOf. It reports whether anything changed.
 func (c *Catalog) advance(changes []Change, asOf objects.Position, now time.Time) bool {
 	first := c.AsOf == 0
 	changed := c.applyAll(changes, asOf, now)
@@ -205,6 +207,7 @@
 	return out
 }
 
+// applyAll applies changes as of a position, without setting AsOf. It reports whether anything changed.
 func (c *Catalog) applyAll(changes []Change, asOf objects.Position, now time.Time) bool {
 	c.suspectMassRemoval(changes, now)
 	changed := false
@@ -228,6 +231,8 @@
 	}
 }
 
+// apply applies one change. It retains an entry that is removed while removals are suspect or the list
+// of a restored store is applied. It reports whether anything changed.
 func (c *Catalog) apply(ch Change, asOf objects.Position, now time.Time) bool {
 	if !ch.Removed {
 		return c.put(ch.Registration, asOf, now)
@@ -247,7 +252,8 @@
 	return true
 }
 
-// put adds an entry, or replaces the one of the same upstream if it supersedes that.
+// put adds an entry, or replaces the one of the same upstream if it supersedes that. It reports whether it
+// did.
 func (c *Catalog) put(r Registration, asOf objects.Position, now time.Time) bool {
 	old, known := c.entries[r.ID]
 	if !known {
@@ -295,6 +301,7 @@
 	}
 }
 
+// logChange appends a change to the log. If the log is full, it drops the older half.
 func (c *Catalog) logChange(ch Change, asOf objects.Position, now time.Time) {
 	if len(c.log) == maxLogEntries {
 		half := maxLogEntries / 2
@@ -418,5 +425,5 @@
 	return out
 }
 
-// Len returns the number of registrations that the store has.
+// Len returns the number of registrations that the store has as of AsOf.
 func (c *Catalog) Len() int { return len(c.entries) }
--- a/internal/version/registry/registration.go
+++ b/internal/version/registry/registration.go
@@ -1,5 +1,12 @@
 // Package registry keeps the registrations of upstreams in the platform's store: what is known of each
 // upstream, as of which revision, and when an upstream whose entry was removed counts as removed.
+//
+// An upstream has one entry in the store, an object that it writes again with each heartbeat and that
+// expires without heartbeats. A Registration is the decoded entry. An incarnation is one run of the
+// upstream's process; the next one may have the same identifier. The list is the set of all entries as
+// of one position of the store (objects.Position): an epoch, which grows when the store is restored
+// from a snapshot, and a revision within it. A removal is suspect, and the entry retained for a while, if
+// the store may have lost the entry although the upstream runs.
 package registry
 
 import (
@@ -35,7 +42,8 @@
 	// Warmup is for how much longer the upstream is slow after its start, counted from the entry's
 	// last change.
 	Warmup time.Duration
-	// Created and Revision order entries, see objects.Object.
+	// Created is the position at which the entry was created, Revision that of its last change, see
+	// objects.Object.
 	Created, Revision objects.Position
 	// StartTime is when the upstream started, zero if it doesn't say.
 	StartTime UnixMilli
@@ -134,7 +142,8 @@
 }
 
 // precedes reports whether an entry of a snapshot is older than what is known of the same upstream: of a
-// former incarnation, or of an earlier heartbeat.
+// former incarnation, or of an earlier heartbeat. Positions don't show that, since those of a restored
+// store are of its new epoch.
 func (r *Registration) precedes(known *Registration) bool {
 	switch {
 	case !r.HasContent() || !known.HasContent() || r.Unusable || known.Unusable:
