--- a/internal/connection/caller/key.go
+++ b/internal/connection/caller/key.go
@@ -30,7 +30,9 @@
 )
 
 const (
-	keyBytes     = 40
+	// keyBytes is the size of the input of Key.Hash.
+	keyBytes = 40
+	// protocolBits is how many low bits of Key.VNIProtocol hold the protocol number.
 	protocolBits = 8
 )
 
--- a/internal/connection/caller/table.go
+++ b/internal/connection/caller/table.go
@@ -90,6 +90,7 @@
 }
 
 const (
+	// shardBits is how many high bits of a flow's hash choose its shard.
 	shardBits = 6
 	numShards = 1 << shardBits
 	// chunkRecords is how many entries a shard allocates together, so that growing
@@ -108,9 +109,12 @@
 type slot uint32
 
 const (
-	slotBits   = 24
+	// slotBits is the width of the entry's number in a slot.
+	slotBits = 24
+	// maxEntries is the largest number of entries in a shard.
 	maxEntries = 1<<slotBits - 2
-	hashShift  = 48
+	// hashShift is the number of the lowest of the 8 bits of a hash that a slot holds.
+	hashShift = 48
 )
 
 func newSlot(n uint32, h peer.FlowHash) slot {
--- a/internal/connection/cookie/engine.go
+++ b/internal/connection/cookie/engine.go
@@ -55,9 +55,10 @@
 	typicalLatency map[string]time.Duration
 	// outcomesRotatedAt is when the windows of request outcomes were last rotated.
 	outcomesRotatedAt time.Time
-	activity          map[string]flowActivity
-	zoneLoads         map[zoneService]zoneLoad
-	healthByZone      map[bundle.Zone]*zoneHealth
+	// activity and requests are by service.
+	activity     map[string]flowActivity
+	zoneLoads    map[zoneService]zoneLoad
+	healthByZone map[bundle.Zone]*zoneHealth
 	// evacuated holds since when each evacuated zone is evacuated.
 	evacuated map[bundle.Zone]time.Time
 	// candidates is a buffer that choose reuses.
--- a/internal/connection/peer/codec.go
+++ b/internal/connection/peer/codec.go
@@ -54,8 +54,9 @@
 const (
 	// macBytes is the size of an authentication code.
 	macBytes = 16
-	// maxElements bounds arrays before they are allocated. The largest ones are those of the
-	// upstreams, of which a system has up to 110,000.
+	// maxElements bounds the elements of an array, maxMapPairs the pairs of a map and
+	// maxNestedLevel the depth of nesting, before anything is allocated. The largest arrays are
+	// those of the upstreams, of which a system has up to 110,000.
 	maxElements    = 1 << 17
 	maxMapPairs    = 16
 	maxNestedLevel = 8
--- a/internal/connection/peer/packed.go
+++ b/internal/connection/peer/packed.go
@@ -16,9 +16,9 @@
 // 1951). Routes resemble each other, so a whole bundle compresses to a small part of its size.
 type PackedUpdate []byte
 
-// maxUnpacked bounds the size of an unpacked update, in bytes. It allows for a bundle of the
+// maxUnpackedBytes bounds the size of an unpacked update. It allows for a bundle of the
 // largest object that the store accepts, in its most verbose form.
-const maxUnpacked = 8 << 20
+const maxUnpackedBytes = 8 << 20
 
 // PackUpdate encodes and compresses an update.
 func PackUpdate(u *bundle.Update) (PackedUpdate, error) {
@@ -38,11 +38,11 @@
 }
 
 // Unpack decodes what PackUpdate returned. It returns ErrMessage if the result is larger than
-// maxUnpacked.
+// maxUnpackedBytes.
 func (p PackedUpdate) Unpack() (*bundle.Update, error) {
 	r := flate.NewReader(bytes.NewReader(p))
-	src, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
-	if err == nil && len(src) > maxUnpacked {
+	src, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
+	if err == nil && len(src) > maxUnpackedBytes {
 		err = ErrMessage
 	}
 	if err != nil {
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -192,7 +192,8 @@
 // filter selects the members to rank. The zero value selects all members that aren't leaving.
 type filter struct {
 	// zone selects only the members of this zone, if it isn't empty.
-	zone    bundle.Zone
+	zone bundle.Zone
+	// exclude is a member that isn't selected, if it isn't zero.
 	exclude ID
 	// includeLeaving selects leaving members too.
 	includeLeaving bool
--- a/internal/process/cookiedaemon/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -64,12 +64,12 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var out []peer.ZoneLoad
-	for id, t := range z.zoneReports {
-		if now.Sub(t.at) > zoneReportTTL {
+	for id, received := range z.zoneReports {
+		if now.Sub(received.at) > zoneReportTTL {
 			delete(z.zoneReports, id)
 			continue
 		}
-		out = append(out, t.zones...)
+		out = append(out, received.zones...)
 	}
 	return out[:min(len(out), peer.MaxZones)]
 }
@@ -83,13 +83,13 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var reports []*peer.Report
-	for id, t := range z.reports {
-		if now.Sub(t.at) > reportTTL {
+	for id, received := range z.reports {
+		if now.Sub(received.at) > reportTTL {
 			delete(z.reports, id)
 			continue
 		}
 		if id == self || slices.ContainsFunc(children, func(m *peer.Member) bool { return m.ID == id }) {
-			reports = append(reports, t.report)
+			reports = append(reports, received.report)
 		}
 	}
 	return peer.SumReports(self, reports)
--- a/internal/process/cookiedaemon/members.go
+++ b/internal/process/cookiedaemon/members.go
@@ -295,8 +295,8 @@
 	}
 }
 
-// anyMember returns the address of a random seed that is a member, or else of a random member. It
-// is invalid if there is no other member.
+// anyMember returns the control address, which is the RPC address too, of a random seed that is a
+// member, or else of a random member. It is invalid if there is no other member.
 func (m *members) anyMember() netip.AddrPort {
 	v := m.view.Load()
 	var seeds, others []netip.AddrPort
@@ -318,8 +318,8 @@
 	return netip.AddrPort{}
 }
 
-// memberInOtherZone returns the address of a random member of another zone. It is invalid if there
-// is none.
+// memberInOtherZone returns the control address, which is the RPC address too, of a random member of
+// another zone. It is invalid if there is none.
 func (m *members) memberInOtherZone() netip.AddrPort {
 	v := m.view.Load()
 	zone := m.daemon.cfg.Load().Zone
--- a/internal/process/cookiedaemon/start.go
+++ b/internal/process/cookiedaemon/start.go
@@ -143,8 +143,9 @@
 }
 
 // largerMembers returns the RPC addresses of members of this daemon's zone that are so much larger
-// that they have read the store before it. If no such member is known, it returns those that the
-// contacts in the store name.
+// that they have read the store before it. If no such member is known, it returns the control
+// addresses, which are the RPC addresses too, of those that the contacts in the store name. It
+// returns none if the contacts can't be read.
 func (m *members) largerMembers(ctx context.Context) []netip.AddrPort {
 	v := m.view.Load()
 	self := v.Member(v.Self)
--- a/internal/version/registry/catalog.go
+++ b/internal/version/registry/catalog.go
@@ -320,8 +320,8 @@
 // upstreams whose older entry was overridden, once heldUntil has passed. It reports whether anything changed.
 func (c *Catalog) Expire(now time.Time) bool {
 	changed := c.releaseOverridden(now)
-	for id, k := range c.retained {
-		if now.After(k.until) {
+	for id, e := range c.retained {
+		if now.After(e.until) {
 			delete(c.retained, id)
 			c.changed[id] = struct{}{}
 			changed = true
@@ -400,8 +400,8 @@
 	for _, id := range slices.Sorted(maps.Keys(c.changed)) {
 		if r, ok := c.entries[id]; ok {
 			out = append(out, Change{Registration: r})
-		} else if k, ok := c.retained[id]; ok {
-			out = append(out, Change{Registration: k.Registration})
+		} else if e, ok := c.retained[id]; ok {
+			out = append(out, Change{Registration: e.Registration})
 		} else {
 			out = append(out, Change{Registration: Registration{ID: id}, Removed: true})
 		}
@@ -419,8 +419,8 @@
 	for _, r := range c.entries {
 		out = append(out, r)
 	}
-	for _, k := range c.retained {
-		out = append(out, k.Registration)
+	for _, e := range c.retained {
+		out = append(out, e.Registration)
 	}
 	return out
 }
