--- a/internal/connection/cookie/doc.go
+++ b/internal/connection/cookie/doc.go
@@ -21,7 +21,8 @@
 //	suspect       an upstream that left packets unanswered and is probed, or a zone of which a first
 //	              packet went unanswered while none of its upstreams was seen; it gets new flows
 //	              only if there is no better choice
-//	ejected       an upstream that gets no new flows for a while, since too many requests fail there
+//	ejected       an upstream that for a while gets new flows only if there is no better choice, since
+//	              too many requests fail there
 //	report        what balancers of a zone send each other of their counts, see peer.Report
 //
 // The package only decides; it has no sockets, goroutines or clock. An Engine isn't safe for
--- a/internal/connection/cookie/ejection.go
+++ b/internal/connection/cookie/ejection.go
@@ -20,8 +20,8 @@
 	o.answered, o.failed = 0, 0
 }
 
-// Bounds by which an upstream counts as failing and is ejected: it gets no new flows for a while.
-// Its open flows stay, since it may still answer them.
+// Bounds by which an upstream counts as failing and is ejected: it gets no new flows for a while,
+// unless there is no better choice. Its open flows stay, since it may still answer them.
 const (
 	// answerTimeout is how long a request waits without a sign of an answer before it counts as
 	// failed. It is longer than an upstream with a full queue takes to answer.
--- a/internal/connection/cookie/upstream.go
+++ b/internal/connection/cookie/upstream.go
@@ -14,8 +14,8 @@
 // The health states.
 const (
 	HealthGood Health = iota
-	// HealthSuspect: packets went unanswered, so the upstream gets no new flow until a probe or a
-	// packet shows that it is alive.
+	// HealthSuspect: packets went unanswered, so the upstream gets no new flow, unless there is no
+	// better choice, until a probe or a packet shows that it is alive.
 	HealthSuspect
 	// HealthDead: a probe was refused or answered by another upstream, two probes went unanswered,
 	// or the upstream fell silent together with others of its zone (see Engine.ProbePending). If
@@ -96,8 +96,8 @@
 	probesInFlight int
 	lastProbe      time.Time
 	// unaccepted is how many probes were reported as pending, see Engine.ProbePending, since the
-	// upstream became a suspect or a probe showed nothing. nextProbe is the earliest time of the next probe, timeouts how many
-	// probes in a row timed out.
+	// upstream became a suspect or a probe showed nothing. nextProbe is the earliest time of the
+	// next probe, timeouts how many probes in a row timed out.
 	unaccepted int
 	nextProbe  time.Time
 	timeouts   int
--- a/internal/connection/peer/reader.go
+++ b/internal/connection/peer/reader.go
@@ -168,9 +168,9 @@
 	takeOverStep  = 200 * time.Millisecond
 	// takeOverSteps bounds the delay: the fourth in rank and all behind it wait equally long.
 	takeOverSteps = 3
-	// storeLostStep is the additional delay per rank beyond takeOverSteps while a daemon reports
-	// that the store doesn't answer it. It is unlikely to answer this one either, unless
-	// it refuses just those. Without this delay every daemon would call a store that refuses calls.
+	// storeLostStep is the additional delay per rank beyond takeOverSteps while a daemon that reads
+	// the store reports that it doesn't answer. It is unlikely to answer this one either, unless it
+	// refuses just that one. Without this delay every daemon would call a store that refuses calls.
 	// storeLostRanks bounds the delay, in case the store serves only daemons far back in rank.
 	storeLostStep  = time.Second
 	storeLostRanks = 8
--- a/internal/process/cookiedaemon/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -12,9 +12,9 @@
 )
 
 // zoneLoads sums up what this daemon and its children in the report tree count at upstreams. At the
-// zone reader, which is the root, the sum covers the whole zone. Each member sends one
-// report to its parent and receives one sum, so the cost of a member doesn't grow with the number
-// of members. zoneLoads is safe for concurrent use.
+// zone reader, which is the root, the sum covers the whole zone. Each member sends one report to its
+// parent and receives one sum, so the cost of a member doesn't grow with the number of members.
+// zoneLoads is safe for concurrent use.
 type zoneLoads struct {
 	mu      sync.Mutex
 	reports map[peer.ID]receivedReport
