--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -46,7 +46,7 @@
 	// RepeatsPossible is true after a change for as long as a caller may repeat a message whose
 	// first copy went through the flow's previous owner.
 	RepeatsPossible bool
-	// Lost are members that died without handing over their records.
+	// Lost are members that died within Config.LostWindow without handing over their records.
 	Lost []Member
 	// RecentlyJoined are members that joined or restarted recently. Records that the ranking
 	// assigns to them may still be at the member that ranks next.
@@ -192,7 +192,8 @@
 // filter selects the members to rank. The zero value selects all members that aren't leaving.
 type filter struct {
 	// zone selects only the members of this zone, if it isn't empty.
-	zone    bundle.Zone
+	zone bundle.Zone
+	// exclude is a member that isn't selected, if it isn't zero.
 	exclude ID
 	// includeLeaving selects leaving members too.
 	includeLeaving bool
--- a/internal/process/cookiedaemon/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -12,9 +12,9 @@
 )
 
 // zoneLoads sums up what this daemon and its children in the report tree count at upstreams. At the
-// zone's store reader, which is the root, the sum covers the whole zone. Each member sends one
-// report to its parent and receives one sum, so the cost of a member doesn't grow with the number
-// of members. zoneLoads is safe for concurrent use.
+// zone reader, which is the root, the sum covers the whole zone. Each member sends one report to its
+// parent and receives one sum, so the cost of a member doesn't grow with the number of members.
+// zoneLoads is safe for concurrent use.
 type zoneLoads struct {
 	mu      sync.Mutex
 	reports map[peer.ID]receivedReport
@@ -45,12 +45,14 @@
 	return &zoneLoads{reports: make(map[peer.ID]receivedReport), zoneReports: make(map[peer.ID]receivedZoneReport)}
 }
 
+// putReport stores the last report of this daemon or of a member that takes it for its parent.
 func (z *zoneLoads) putReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.reports[r.From] = receivedReport{at: now, report: r}
 }
 
+// putZoneReport stores the loads that the zone reader of another zone sent.
 func (z *zoneLoads) putZoneReport(r *peer.Report, now time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -62,43 +64,42 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var out []peer.ZoneLoad
-	for id, t := range z.zoneReports {
-		if now.Sub(t.at) > zoneReportTTL {
+	for id, received := range z.zoneReports {
+		if now.Sub(received.at) > zoneReportTTL {
 			delete(z.zoneReports, id)
 			continue
 		}
-		out = append(out, t.zones...)
+		out = append(out, received.zones...)
 	}
 	return out[:min(len(out), peer.MaxZones)]
 }
 
 // sum returns the sum of this daemon's last report and those of its children, the busiest upstreams
 // first. Reports of other members are left out: they were sent here while this daemon was taken for
-// their parent, and their present parent counts them too. Otherwise, a zone whose store reader is
+// their parent, and their present parent counts them too. Otherwise, a zone whose zone reader is
 // cut off in one direction, and is seen alive and dead alternately by the others, would seem twice
 // as loaded as it is, and would send its flows to other zones.
 func (z *zoneLoads) sum(self peer.ID, children []*peer.Member, now time.Time) *peer.Report {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var reports []*peer.Report
-	for id, t := range z.reports {
-		if now.Sub(t.at) > reportTTL {
+	for id, received := range z.reports {
+		if now.Sub(received.at) > reportTTL {
 			delete(z.reports, id)
 			continue
 		}
 		if id == self || slices.ContainsFunc(children, func(m *peer.Member) bool { return m.ID == id }) {
-			reports = append(reports, t.report)
+			reports = append(reports, received.report)
 		}
 	}
 	return peer.SumReports(self, reports)
 }
 
-// sendLoads sends the counts of this daemon and its children to its parent. A daemon that is its
-// zone's store reader instead sends the sum to its whole zone, and the zone's load to the store
-// readers of other zones.
+// sendLoads sends the counts of this daemon and its children to its parent. The zone reader instead
+// sends the sum to its whole zone, and the zone's load to the zone readers of other zones.
 func (m *members) sendLoads(now time.Time) {
 	v := m.view.Load()
-	m.loads.putReport(m.c.ownReport(v.Self), now)
+	m.loads.putReport(m.daemon.ownReport(v.Self), now)
 	sum := m.loads.sum(v.Self, v.Reporters(), now)
 	if p := v.Parent(); p != nil {
 		send(m, protocolReport, m.reports, sum, []*peer.Member{p})
@@ -109,32 +110,35 @@
 			l.Answered = 0
 		}
 	}
-	ownLost, lost := m.c.storeLost(now)
+	ownLost, lost := m.daemon.storeLost(now)
 	sum.IsSum, sum.Zones, sum.Sequence, sum.StoreLost = true, m.loads.zones(now), m.lastSequence.Add(1), lost
-	m.c.applyLoads(sum, now)
+	m.daemon.applyLoads(sum, now)
 	send(m, protocolReport, m.reports, sum, v.Children(peer.TreeForward, true))
-	own := &peer.Report{From: v.Self, Zones: m.c.ownZone(), StoreLost: ownLost}
+	own := &peer.Report{From: v.Self, Zones: m.daemon.ownZone(), StoreLost: ownLost}
 	send(m, protocolReport, m.reports, own, v.OtherZoneReaders())
 }
 
-func (c *Daemon) ownZone() []peer.ZoneLoad {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	list := c.engine.OwnZoneLoads()
+// ownZone returns the loads of this daemon's zone by service, as many as fit in a report.
+func (d *Daemon) ownZone() []peer.ZoneLoad {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list := d.engine.OwnZoneLoads()
 	return list[:min(len(list), peer.MaxZones)]
 }
 
+// receiveReport handles the four forms of a report: upstreams found dead, the sum of this daemon's
+// zone, the load of another zone, and the counts of a member and its children.
 func (m *members) receiveReport(r *peer.Report, now time.Time) {
 	v := m.view.Load()
-	if r.StoreLost && m.c.noteStoreLost(now) && !r.IsSum {
+	if r.StoreLost && m.daemon.noteStoreLost(now) && !r.IsSum {
 		m.sendLoads(now) // Its own zone needs this report.
 	}
 	switch {
 	case r.DeadOnly:
-		m.c.probeSuspects(r.Dead, now)
+		m.daemon.probeSuspects(r.Dead, now)
 		m.relayReport(r, v.Recipients(false), now)
 	case r.IsSum:
-		m.c.applyLoads(r, now)
+		m.daemon.applyLoads(r, now)
 		m.relayReport(r, v.Children(peer.TreeForward, false), now)
 	case len(r.Zones) > 0:
 		m.loads.putZoneReport(r, now)
@@ -151,17 +155,17 @@
 }
 
 // ownReport returns what this daemon counts at upstreams.
-func (c *Daemon) ownReport(self peer.ID) *peer.Report {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.engine.Report(self)
+func (d *Daemon) ownReport(self peer.ID) *peer.Report {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.engine.Report(self)
 }
 
 // applyLoads applies the sum of the zone's loads.
-func (c *Daemon) applyLoads(r *peer.Report, now time.Time) {
-	c.mu.Lock()
-	ejected := c.engine.ApplyZoneReport(r, now)
-	c.mu.Unlock()
+func (d *Daemon) applyLoads(r *peer.Report, now time.Time) {
+	d.mu.Lock()
+	ejected := d.engine.ApplyZoneReport(r, now)
+	d.mu.Unlock()
 	for _, id := range ejected {
 		klog.InfoS("Upstream gets no new flows: too many requests fail", "ID", id)
 	}
@@ -177,12 +181,12 @@
 }
 
 // probeSuspects probes upstreams that another daemon found dead.
-func (c *Daemon) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
-	c.mu.Lock()
+func (d *Daemon) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
+	d.mu.Lock()
 	for _, id := range ids {
-		c.engine.ReportedDead(id, now)
+		d.engine.ReportedDead(id, now)
 	}
-	due := c.engine.DueProbes(now)
-	c.mu.Unlock()
-	c.probes.send(due)
+	due := d.engine.DueProbes(now)
+	d.mu.Unlock()
+	d.probes.send(due)
 }
--- a/internal/process/cookiedaemon/probe.go
+++ b/internal/process/cookiedaemon/probe.go
@@ -19,31 +19,33 @@
 
 // probes sends health probes to suspected upstreams.
 type probes struct {
-	c    *Daemon
-	ctx  context.Context
-	wg   sync.WaitGroup
-	sent atomic.Uint64
+	daemon *Daemon
+	ctx    context.Context
+	wg     sync.WaitGroup
+	sent   atomic.Uint64
 }
 
-// answerTimeout bounds the wait for the health answer once a connection is accepted. A busy
+// healthTimeout bounds the wait for the health answer once a connection is accepted. A busy
 // upstream may take long; that it accepted shows already that it is alive.
-const answerTimeout = 500 * time.Millisecond
+const healthTimeout = 500 * time.Millisecond
 
-func (c *Daemon) startProbes(ctx context.Context) (func(), error) {
+func (d *Daemon) startProbes(ctx context.Context) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
-	c.probes = &probes{c: c, ctx: ctx}
+	d.probes = &probes{daemon: d, ctx: ctx}
 	return func() {
 		cancel()
-		c.probes.wg.Wait()
+		d.probes.wg.Wait()
 	}, nil
 }
 
+// send starts the given probes, each in a goroutine of its own.
 func (p *probes) send(due []cookie.Probe) {
 	for _, probe := range due {
 		p.wg.Go(func() { p.probe(probe) })
 	}
 }
 
+// probe sends one probe and passes its result to the engine.
 func (p *probes) probe(pr cookie.Probe) {
 	sent := time.Now()
 	p.sent.Add(1)
@@ -53,16 +55,16 @@
 	}
 	r := p.connect(pr, sent)
 	now := time.Now()
-	p.c.probeSeconds.Update(now.Sub(sent).Seconds())
-	c := p.c
-	c.mu.Lock()
-	before := c.engine.Health(pr.Upstream.ID)
-	resets := c.engine.ProbeDone(pr.Upstream.ID, r, sent, now)
-	after := c.engine.Health(pr.Upstream.ID)
-	c.mu.Unlock()
-	c.data.resets(resets)
+	p.daemon.probeSeconds.Update(now.Sub(sent).Seconds())
+	d := p.daemon
+	d.mu.Lock()
+	before := d.engine.Health(pr.Upstream.ID)
+	resets := d.engine.ProbeDone(pr.Upstream.ID, r, sent, now)
+	after := d.engine.Health(pr.Upstream.ID)
+	d.mu.Unlock()
+	d.data.resets(resets)
 	if after == cookie.HealthDead && before != after && pr.Registered {
-		c.members.announceDead([]bundle.UpstreamID{pr.Upstream.ID})
+		d.members.announceDead([]bundle.UpstreamID{pr.Upstream.ID})
 	}
 	if before != after {
 		klog.InfoS("Upstream probed", "Upstream", pr.Upstream.Address, "ID", pr.Upstream.ID, "Listed", pr.Registered,
@@ -74,10 +76,10 @@
 func (p *probes) checkReachability(u *bundle.UpstreamRoute) {
 	accepted := p.acceptsQuickly(u)
 	now := time.Now()
-	p.c.mu.Lock()
-	p.c.engine.CheckDone(accepted, now)
-	due := p.c.engine.DueProbes(now)
-	p.c.mu.Unlock()
+	p.daemon.mu.Lock()
+	p.daemon.engine.CheckDone(accepted, now)
+	due := p.daemon.engine.DueProbes(now)
+	p.daemon.mu.Unlock()
 	klog.InfoS("No answer from any upstream, checked one of another zone",
 		"Upstream", u.Address, "Zone", u.Zone, "Accepted", accepted, "ProbedNext", len(due))
 	p.send(due)
@@ -111,15 +113,15 @@
 	once              sync.Once
 }
 
-// unacceptedDivisor divides the probe's time-out. If a connection isn't accepted within that part
-// of the time-out, the reference is connected to.
+// unacceptedDivisor divides the probe's timeout. If a connection isn't accepted within that part
+// of the timeout, the reference is connected to.
 const unacceptedDivisor = 4
 
 // scheduleUnacceptedCheck is called just before the attempt's first packet is sent. If the
-// connection isn't accepted within its part of the time-out, though the reference accepts, the
+// connection isn't accepted within its part of the timeout, though the reference accepts, the
 // upstream is reported as unaccepted.
 func (a *attempt) scheduleUnacceptedCheck(conn syscall.RawConn) {
-	timeout := time.Duration(a.p.c.cfg.Load().ProbeTimeout)
+	timeout := time.Duration(a.p.daemon.cfg.Load().ProbeTimeout)
 	time.AfterFunc(timeout/unacceptedDivisor, func() {
 		if a.p.ctx.Err() == nil && unaccepted(conn) && a.referenceAccepts() && unaccepted(conn) {
 			a.p.reportUnaccepted(a.pr, a.sent)
@@ -153,15 +155,15 @@
 // reportUnaccepted reports to the engine that a probe isn't accepted although its reference was.
 func (p *probes) reportUnaccepted(pr cookie.Probe, sent time.Time) {
 	now := time.Now()
-	c := p.c
-	c.mu.Lock()
-	found, resets := c.engine.ProbePending(pr.Upstream.ID, sent, now)
-	due := c.engine.DueProbes(now)
-	c.mu.Unlock()
-	c.data.resets(resets)
+	d := p.daemon
+	d.mu.Lock()
+	found, resets := d.engine.ProbePending(pr.Upstream.ID, sent, now)
+	due := d.engine.DueProbes(now)
+	d.mu.Unlock()
+	d.data.resets(resets)
 	p.send(due)
 	if len(found) > 0 {
-		c.members.announceDead(found)
+		d.members.announceDead(found)
 		klog.InfoS("Upstreams of a zone don't answer", "Zone", pr.Upstream.Zone, "Upstreams", len(found), "FlowsReset", len(resets),
 			"ProbedNext", len(due))
 	}
@@ -169,7 +171,7 @@
 
 // dial connects to an upstream. begins is called just before and may be nil.
 func (p *probes) dial(u *bundle.UpstreamRoute, begins func(syscall.RawConn)) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(p.ctx, time.Duration(p.c.cfg.Load().ProbeTimeout))
+	ctx, cancel := context.WithTimeout(p.ctx, time.Duration(p.daemon.cfg.Load().ProbeTimeout))
 	defer cancel()
 	nd := net.Dialer{Control: func(_, _ string, conn syscall.RawConn) error {
 		if begins != nil {
@@ -192,12 +194,14 @@
 		return false
 	}
 	_ = conn.Close() // No data was sent.
-	return time.Since(began) < time.Duration(p.c.cfg.Load().ProbeTimeout)/quickDivisor
+	return time.Since(began) < time.Duration(p.daemon.cfg.Load().ProbeTimeout)/quickDivisor
 }
 
-// quickDivisor divides the probe's time-out. A healthy upstream accepts within that part of it.
+// quickDivisor divides the probe's timeout. A healthy upstream accepts within that part of it.
 const quickDivisor = 5
 
+// identify requests the upstream's health over an accepted connection, to detect another upstream at
+// its address. It closes the connection.
 func (p *probes) identify(conn net.Conn, pr cookie.Probe) cookie.ProbeResult {
 	t := &http.Transport{
 		DisableKeepAlives: true,
@@ -205,7 +209,7 @@
 	}
 	defer t.CloseIdleConnections()
 	defer func() { _ = conn.Close() }() // The answer was read, or is no longer needed.
-	ctx, cancel := context.WithTimeout(p.ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(p.ctx, healthTimeout)
 	defer cancel()
 	at := "http://" + pr.Upstream.Address.String() + pr.Upstream.Service.HealthPath
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, at, http.NoBody)
@@ -217,7 +221,7 @@
 		return cookie.ProbeAlive // Accepted, but too busy to answer: it may be the same upstream.
 	}
 	_ = resp.Body.Close()
-	id := p.c.platform.HealthID(resp.Header)
+	id := p.daemon.platform.HealthID(resp.Header)
 	if id != 0 && id != pr.Upstream.ID {
 		return cookie.ProbeOther
 	}
