--- a/cmd/soak/report.go
+++ b/cmd/soak/report.go
@@ -46,7 +46,7 @@
 // times, and the violated guarantees.
 func writeReport(dir string, r *run, o *outcome) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "began %s, answered by second: %s\n", r.began.Format("15:04:05.000"), o.plot)
+	fmt.Fprintf(&b, "began %s, answered by second: %s\n", r.startedAt.Format("15:04:05.000"), o.plot)
 	for _, line := range append(r.faultLog, o.broken...) {
 		fmt.Fprintln(&b, line)
 	}
--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -18,10 +18,10 @@
 
 // run is the state of one run, for one seed.
 type run struct {
-	w     *world.World
-	rng   *rand.Rand
-	procs []*world.Process
-	began time.Time
+	w         *world.World
+	rng       *rand.Rand
+	procs     []*world.Process
+	startedAt time.Time
 	// newAddress is the zero value, which asks for an upstream at an address that no other has.
 	newAddress netip.AddrPort
 	faultLog   []string
@@ -35,7 +35,7 @@
 	// maxFault and the time until a crashed upstream's entry expires. The users' bound for a recovery is far longer.
 	// An evacuation may last longer than healWait.
 	healWait = maxFault + 5*time.Second
-	// checkPeriod is the time after healWait over which availability is measured, minAnsweredShare the share of
+	// checkPeriod is the time after healWait over which availability is evaluated, minAnsweredShare the share of
 	// requests that must be answered in it.
 	checkPeriod      = 3 * time.Second
 	minAnsweredShare = 0.98
@@ -59,7 +59,7 @@
 		return false, err
 	}
 	defer stop()
-	r := &run{w: w, procs: procs, rng: rand.New(rand.NewPCG(seed, 1)), began: time.Now()}
+	r := &run{w: w, procs: procs, rng: rand.New(rand.NewPCG(seed, 1)), startedAt: time.Now()}
 	o, err := r.execute(ctx, c)
 	if err != nil {
 		return false, err
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &outcome{broken: r.w.Violations(), plot: plot(stats, r.began)}
+	o := &outcome{broken: r.w.Violations(), plot: plot(stats, r.startedAt)}
 	var last []flows.Outcome
 	for i := range stats {
 		t := &stats[i]
--- a/cmd/try/run.go
+++ b/cmd/try/run.go
@@ -94,7 +94,7 @@
 
 // logf prints a line with the seconds since the trial began.
 func (t *trial) logf(format string, args ...any) {
-	fmt.Printf("%6.1fs  %s\n", time.Since(t.began).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Printf("%6.1fs  %s\n", time.Since(t.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // findFailures returns the failures with the given names, or an error if there is none of a name.
--- a/cmd/try/trial.go
+++ b/cmd/try/trial.go
@@ -15,13 +15,13 @@
 
 // trial is one run of a deployment: its processes, keys and settings.
 type trial struct {
-	opts   *runCommand
-	dir    string
-	deploy deployment
-	began  time.Time
-	binary string
-	key    *operator.KeyFile
-	secret []byte
+	opts      *runCommand
+	dir       string
+	deploy    deployment
+	startedAt time.Time
+	binary    string
+	key       *operator.KeyFile
+	secret    []byte
 
 	platform  *standIn
 	fabric    *standIn
@@ -53,7 +53,7 @@
 
 // start builds the balancer if needed and starts all processes but the callers.
 func (t *trial) start(ctx context.Context) error {
-	t.began = time.Now()
+	t.startedAt = time.Now()
 	t.secret = make([]byte, secretBytes)
 	_, _ = rand.Read(t.secret)
 	if t.binary = t.opts.Binary; t.binary == "" {
@@ -64,7 +64,7 @@
 		}
 		t.binary = binary
 	}
-	t.began = time.Now()
+	t.startedAt = time.Now()
 	steps := []func(context.Context) error{
 		t.startPlatform, t.startBalancers, t.roll, t.startFabric, t.startUpstreams, t.routeToAll, t.awaitReady,
 	}
--- a/internal/connection/caller/query.go
+++ b/internal/connection/caller/query.go
@@ -27,7 +27,7 @@
 		noteFound(hop, &r)
 		hop.PlacedAt = 0
 	}
-	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumReplicas > 0 && !w.answer &&
+	if hop.Has(geneve.FlagPlace) && hop.Found == 0 && hop.NumToVisit > 0 && !w.answer &&
 		w.view.IsReplica(w.hash, peer.ID(hop.Owner)) {
 		e.storeProposal(w)
 	}
@@ -111,18 +111,18 @@
 // queryNext sends the packet to the next listed member that is in the view, or decides
 // here if there is none.
 func (e *Engine) queryNext(w *packetWork) Cause {
-	if e.sendToNextReplica(w) {
+	if e.sendToNextMember(w) {
 		return CauseNone
 	}
 	return e.decideAfterQuery(w)
 }
 
-// sendToNextReplica sends the packet to the next listed member that is in the view. It
+// sendToNextMember sends the packet to the next listed member that is in the view. It
 // returns false if there is none.
-func (e *Engine) sendToNextReplica(w *packetWork) bool {
+func (e *Engine) sendToNextMember(w *packetWork) bool {
 	hop := &w.p.Header.Hop
 	for {
-		id, ok := hop.NextReplica()
+		id, ok := hop.NextToVisit()
 		if !ok {
 			return false
 		}
--- a/internal/connection/caller/refresh.go
+++ b/internal/connection/caller/refresh.go
@@ -70,7 +70,7 @@
 }
 
 func (e *Engine) forwardRefresh(w *packetWork) Cause {
-	if e.sendToNextReplica(w) {
+	if e.sendToNextMember(w) {
 		return CauseNone
 	}
 	return e.deliver(w, w.p.Header.Hop.Upstream)
--- a/internal/connection/cookie/evacuation_test.go
+++ b/internal/connection/cookie/evacuation_test.go
@@ -136,7 +136,7 @@
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
 		e.SetEvacuatedZones([]bundle.Zone{otherZone}, start)
-		e.ReportedDead(u.Route.ID, start.Add(2*time.Second))
+		e.NoteReportedDead(u.Route.ID, start.Add(2*time.Second))
 		due := e.DueProbes(start.Add(2 * time.Second))
 		Expect(due).To(HaveLen(1))
 		Expect(due[0].Reference).To(BeNil(), "its own zone is silent: none of %d upstreams is left", len(list))
@@ -150,7 +150,7 @@
 		u := c.open(e, start)
 		e.SetEvacuatedZones([]bundle.Zone{ownZone}, start)
 		for _, r := range list[:2] {
-			e.ReportedDead(r.ID, start.Add(2*time.Second))
+			e.NoteReportedDead(r.ID, start.Add(2*time.Second))
 		}
 		due := e.DueProbes(start.Add(2 * time.Second))
 		Expect(due).To(HaveLen(1))
--- a/internal/connection/cookie/open.go
+++ b/internal/connection/cookie/open.go
@@ -105,7 +105,7 @@
 			e.candidates = append(e.candidates, upstream.Candidate{
 				Route:           u.Route,
 				Load:            u.load,
-				Cold:            now.Before(u.warmingUntil),
+				WarmingUp:       now.Before(u.warmingUntil),
 				RequestsPerFlow: requestsPerFlow,
 
 				ZoneFlowsPerSlot: e.zoneFlowsPerSlot(u, now),
--- a/internal/connection/cookie/probe.go
+++ b/internal/connection/cookie/probe.go
@@ -124,11 +124,11 @@
 	return e.endFlowsAt(map[*Upstream]bool{u: true})
 }
 
-// ReportedDead notes that another balancer found an upstream dead. This one probes the upstream
+// NoteReportedDead notes that another balancer found an upstream dead. This one probes the upstream
 // itself, since the other one may be cut off. With few hosts each detects dead upstreams by itself;
 // where each sees few flows, most of a crashed upstream's callers are reset in time only due to
 // such reports.
-func (e *Engine) ReportedDead(id bundle.UpstreamID, now time.Time) {
+func (e *Engine) NoteReportedDead(id bundle.UpstreamID, now time.Time) {
 	u := e.upstreams[id]
 	if u != nil && u.registered && u.health == HealthGood && now.Sub(u.probeAnswered) >= probeAnswerTTL {
 		u.suspect(now)
@@ -175,7 +175,7 @@
 }
 
 // LearnDeregisteredDead adds upstreams that another balancer found dead after they were
-// deregistered. As with ReportedDead, this balancer probes them itself, as soon as a packet names
+// deregistered. As with NoteReportedDead, this balancer probes them itself, as soon as a packet names
 // one.
 func (e *Engine) LearnDeregisteredDead(upstreams []peer.DeregisteredUpstream, now time.Time) {
 	for _, g := range upstreams {
--- a/internal/connection/cookie/probe_test.go
+++ b/internal/connection/cookie/probe_test.go
@@ -152,7 +152,7 @@
 		e := newEngineWithoutObjectives(registrations(1))
 		c := newCaller(1, feedAt)
 		u := c.open(e, start)
-		e.ReportedDead(u.Route.ID, start.Add(2*time.Second))
+		e.NoteReportedDead(u.Route.ID, start.Add(2*time.Second))
 		now := start.Add(2 * time.Second)
 		Expect(e.DueProbes(now)).To(HaveLen(1))
 		e.ProbeDone(u.Route.ID, cookie.ProbeRefused, now, now)
--- a/internal/connection/cookie/report.go
+++ b/internal/connection/cookie/report.go
@@ -46,7 +46,7 @@
 	e.LoadTable.RetainMembers(nil)
 	e.LoadTable.UpdateReported(zoneSumMember, ids, flows)
 	for _, id := range r.Dead {
-		e.ReportedDead(id, now)
+		e.NoteReportedDead(id, now)
 	}
 	return ejected
 }
--- a/internal/connection/cookie/zonehealth_test.go
+++ b/internal/connection/cookie/zonehealth_test.go
@@ -180,7 +180,7 @@
 	It("aren't dead if another upstream of their zone accepts a probe meanwhile", func() {
 		z := newSilentZone()
 		due, sent := probeSuspects(z), z.now
-		z.ReportedDead(fourth(due), sent)
+		z.NoteReportedDead(fourth(due), sent)
 		Expect(z.DueProbes(sent)).To(HaveLen(1))
 		z.ProbeDone(fourth(due), cookie.ProbeAlive, sent, sent.Add(10*ms))
 		for _, p := range due {
@@ -302,7 +302,7 @@
 			}
 		}
 		setUpstreams(e, list, now.Add(10*ms))
-		e.ReportedDead(u.Route.ID, now.Add(2*time.Second))
+		e.NoteReportedDead(u.Route.ID, now.Add(2*time.Second))
 		e.DueProbes(now.Add(2 * time.Second))
 		for range 2 {
 			found, _ := e.ProbePending(u.Route.ID, now, now.Add(2*time.Second))
--- a/internal/connection/geneve/geneve_test.go
+++ b/internal/connection/geneve/geneve_test.go
@@ -16,7 +16,7 @@
 	h := geneve.Header{VNI: 0xabcdef, EtherType: geneve.EtherTypeIPv6, Control: true}
 	h.Hop = geneve.Hop{Kind: geneve.KindQuery, Flags: geneve.FlagPlace, Count: 3, Upstream: 7, Owner: 9}
 	for id := range uint64(5) {
-		h.Hop.AddReplica(id + 100)
+		h.Hop.AddToVisit(id + 100)
 	}
 	return h
 }
@@ -63,10 +63,10 @@
 	It("lists each replica once and moves one to the end", func() {
 		var hop geneve.Hop
 		for _, id := range []uint64{1, 2, 3, 2} {
-			hop.AddReplica(id)
+			hop.AddToVisit(id)
 		}
 		hop.MoveLast(1)
-		Expect(hop.Replicas[:hop.NumReplicas]).To(Equal([]uint64{2, 3, 1}))
+		Expect(hop.ToVisit[:hop.NumToVisit]).To(Equal([]uint64{2, 3, 1}))
 	})
 })
 
--- a/internal/connection/geneve/hop.go
+++ b/internal/connection/geneve/hop.go
@@ -18,8 +18,8 @@
 	hopFixedBytes = 32
 	tagBytes      = 8
 	memberBytes   = 8
-	// MaxReplicas is the largest number of members that one hop option can list.
-	MaxReplicas = 10
+	// MaxToVisit is the largest number of members that one hop option can list.
+	MaxToVisit = 10
 	// signedInner is how many bytes of the inner packet the tag covers: the IP and
 	// transport headers, which identify the flow.
 	signedInner = 48
@@ -98,10 +98,10 @@
 	PlacedAt uint32
 	// Owner is the member that receives the record from the member that has it.
 	Owner uint64
-	// Replicas are the members that the packet still has to visit, the next one first.
-	Replicas [MaxReplicas]uint64
-	// NumReplicas is the number of entries in use in Replicas.
-	NumReplicas uint8
+	// ToVisit are the members that the packet still has to visit, the next one first.
+	ToVisit [MaxToVisit]uint64
+	// NumToVisit is the number of entries in use in ToVisit.
+	NumToVisit uint8
 }
 
 // Has reports whether all of flags are set.
@@ -109,46 +109,46 @@
 	return h.Flags&flags == flags
 }
 
-// AddReplica appends a member to Replicas. It does nothing if the member is already
-// listed or Replicas is full.
-func (h *Hop) AddReplica(id uint64) {
-	for _, have := range h.Replicas[:h.NumReplicas] {
+// AddToVisit appends a member to ToVisit. It does nothing if the member is already
+// listed or ToVisit is full.
+func (h *Hop) AddToVisit(id uint64) {
+	for _, have := range h.ToVisit[:h.NumToVisit] {
 		if have == id {
 			return
 		}
 	}
-	if h.NumReplicas == MaxReplicas {
+	if h.NumToVisit == MaxToVisit {
 		return
 	}
-	h.Replicas[h.NumReplicas] = id
-	h.NumReplicas++
+	h.ToVisit[h.NumToVisit] = id
+	h.NumToVisit++
 }
 
-// MoveLast moves a member to the end of Replicas, or adds it there. If Replicas is
+// MoveLast moves a member to the end of ToVisit, or adds it there. If ToVisit is
 // full, the member replaces the last one.
 func (h *Hop) MoveLast(id uint64) {
-	kept := h.Replicas[:0]
-	for _, have := range h.Replicas[:h.NumReplicas] {
+	kept := h.ToVisit[:0]
+	for _, have := range h.ToVisit[:h.NumToVisit] {
 		if have != id {
 			kept = append(kept, have)
 		}
 	}
-	if len(kept) == MaxReplicas {
-		kept = kept[:MaxReplicas-1]
+	if len(kept) == MaxToVisit {
+		kept = kept[:MaxToVisit-1]
 	}
 	kept = append(kept, id)
-	h.NumReplicas = uint8(len(kept))
+	h.NumToVisit = uint8(len(kept))
 }
 
-// NextReplica removes the first member from Replicas and returns it. It returns false
-// if Replicas is empty.
-func (h *Hop) NextReplica() (uint64, bool) {
-	if h.NumReplicas == 0 {
+// NextToVisit removes the first member from ToVisit and returns it. It returns false
+// if ToVisit is empty.
+func (h *Hop) NextToVisit() (uint64, bool) {
+	if h.NumToVisit == 0 {
 		return 0, false
 	}
-	id := h.Replicas[0]
-	copy(h.Replicas[:], h.Replicas[1:h.NumReplicas])
-	h.NumReplicas--
+	id := h.ToVisit[0]
+	copy(h.ToVisit[:], h.ToVisit[1:h.NumToVisit])
+	h.NumToVisit--
 	return id, true
 }
 
@@ -157,7 +157,7 @@
 		return ErrHopOption
 	}
 	n := int(b[3])
-	if n > MaxReplicas || len(b) != hopFixedBytes+n*memberBytes+tagBytes {
+	if n > MaxToVisit || len(b) != hopFixedBytes+n*memberBytes+tagBytes {
 		return ErrHopOption
 	}
 	h.Kind = Kind(b[0])
@@ -166,28 +166,28 @@
 	}
 	h.Flags = Flags(b[1])
 	h.Count = b[2]
-	h.NumReplicas = b[3]
+	h.NumToVisit = b[3]
 	h.Upstream = bundle.UpstreamID(binary.BigEndian.Uint64(b[4:]))
 	h.Owner = binary.BigEndian.Uint64(b[12:])
 	h.Found = bundle.UpstreamID(binary.BigEndian.Uint64(b[20:]))
 	h.PlacedAt = binary.BigEndian.Uint32(b[28:])
 	for i := range n {
-		h.Replicas[i] = binary.BigEndian.Uint64(b[hopFixedBytes+i*memberBytes:])
+		h.ToVisit[i] = binary.BigEndian.Uint64(b[hopFixedBytes+i*memberBytes:])
 	}
 	return nil
 }
 
 func (h *Hop) append(b []byte, k *Key, vni bundle.VNI, inner []byte) []byte {
-	n := hopFixedBytes + int(h.NumReplicas)*memberBytes + tagBytes
+	n := hopFixedBytes + int(h.NumToVisit)*memberBytes + tagBytes
 	b = binary.BigEndian.AppendUint16(b, hopClass)
 	b = append(b, hopType|criticalType, byte(n/wordBytes))
 	start := len(b)
-	b = append(b, byte(h.Kind), byte(h.Flags), h.Count, h.NumReplicas)
+	b = append(b, byte(h.Kind), byte(h.Flags), h.Count, h.NumToVisit)
 	b = binary.BigEndian.AppendUint64(b, uint64(h.Upstream))
 	b = binary.BigEndian.AppendUint64(b, h.Owner)
 	b = binary.BigEndian.AppendUint64(b, uint64(h.Found))
 	b = binary.BigEndian.AppendUint32(b, h.PlacedAt)
-	for _, id := range h.Replicas[:h.NumReplicas] {
+	for _, id := range h.ToVisit[:h.NumToVisit] {
 		b = binary.BigEndian.AppendUint64(b, id)
 	}
 	return binary.BigEndian.AppendUint64(b, k.tag(vni, b[start:], inner))
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -76,10 +76,10 @@
 type Envelope struct {
 	To      netip.AddrPort
 	Message Message
-	// FreshPort requests a source port that wasn't used before. A middlebox between the two ends
+	// NewPort requests a source port that wasn't used before. A middlebox between the two ends
 	// may have lost the state of the ports used until now and drop their packets, while a new pair
 	// of ports works.
-	FreshPort bool
+	NewPort bool
 }
 
 // Membership detects by direct probes which members are alive, in the manner of SWIM (Das, Gupta,
--- a/internal/connection/peer/probe.go
+++ b/internal/connection/peer/probe.go
@@ -64,7 +64,7 @@
 	}
 	// The direct probe is repeated as well, because the loss of one datagram is not a failure.
 	e := m.envelope(target.Control, KindPing, m.probe.seq)
-	e.FreshPort = true
+	e.NewPort = true
 	return append(out, e)
 }
 
--- a/internal/connection/peer/view.go
+++ b/internal/connection/peer/view.go
@@ -237,7 +237,7 @@
 // A member that wrongly believes this daemon dead takes that one for the owner.
 func (v *View) AddReplicas(h FlowHash, hop *geneve.Hop) {
 	for _, z := range v.zones {
-		v.addReplica(hop, v.Replica(h, z, v.Self))
+		v.addToVisit(hop, v.Replica(h, z, v.Self))
 	}
 }
 
@@ -256,12 +256,12 @@
 // above it.
 func (v *View) addRanked(h FlowHash, z bundle.Zone, hop *geneve.Hop) {
 	f := filter{zone: z, exclude: v.Self, includeLeaving: true}
-	for range geneve.MaxReplicas {
+	for range geneve.MaxToVisit {
 		m := v.highestRanked(h, f)
 		if m == nil {
 			return
 		}
-		v.addReplica(hop, m)
+		v.addToVisit(hop, m)
 		if m.State != StateLeaving && !slices.Contains(v.RecentlyJoined, m.ID) {
 			return
 		}
@@ -281,13 +281,13 @@
 	}
 	slices.SortFunc(ranked, func(a, b *Member) int { return cmp.Compare(score(h, b.ID), score(h, a.ID)) })
 	for _, m := range ranked {
-		v.addReplica(hop, m)
+		v.addToVisit(hop, m)
 	}
 }
 
-func (v *View) addReplica(hop *geneve.Hop, m *Member) {
+func (v *View) addToVisit(hop *geneve.Hop, m *Member) {
 	if m != nil {
-		hop.AddReplica(uint64(m.ID))
+		hop.AddToVisit(uint64(m.ID))
 	}
 }
 
--- a/internal/connection/peer/warmup.go
+++ b/internal/connection/peer/warmup.go
@@ -7,7 +7,7 @@
 )
 
 // WarmupLimiter says which members send flows to an upstream that is slow after its start and can
-// take only a few per second. They are a few members of its zone, chosen by rendezvous hashing, so
+// take only a few per second. They are a few members of its zone, selected by rendezvous hashing, so
 // all members together stay within the upstream's rate without communicating. Members whose views
 // differ choose different senders; the bound leaves a margin for half as many more. It isn't safe
 // for concurrent use.
--- a/internal/connection/peer/warmup_test.go
+++ b/internal/connection/peer/warmup_test.go
@@ -141,7 +141,7 @@
 }
 
 // The evacuation of a zone is lifted, and each of its upstreams can take a few requests per second
-// while it is cold. Many balancers know of each other only by gossip. If together they sent several
+// while it is warming up. Many balancers know of each other only by gossip. If together they sent several
 // times that rate, no request would be answered in time, and the zone's return would cost more than
 // its evacuation did.
 var _ = Describe("Members that send to a slow upstream", func() {
--- a/internal/connection/upstream/policy.go
+++ b/internal/connection/upstream/policy.go
@@ -10,8 +10,8 @@
 type Candidate struct {
 	Route *bundle.UpstreamRoute
 	Load  *Load
-	// Cold is set for an upstream that is slow because it has just started.
-	Cold bool
+	// WarmingUp is set for an upstream that is slow because it has just started.
+	WarmingUp bool
 	// RequestsPerFlow is how many requests are in progress for each flow of the service, zero if
 	// unknown. Flows per slot times RequestsPerFlow is the utilization.
 	RequestsPerFlow float64
--- a/internal/connection/upstream/zoneaware.go
+++ b/internal/connection/upstream/zoneaware.go
@@ -30,9 +30,9 @@
 	return &ZoneAware{zone: zone, choices: choices}
 }
 
-// coldFlows is the number of flows by which an upstream counts as more loaded while it is slow
+// warmupFlows is the number of flows by which an upstream counts as more loaded while it is slow
 // after its start, so that it isn't given all new flows during that time.
-const coldFlows = 2
+const warmupFlows = 2
 
 // Conditions under which new flows spill over to another zone. At a utilization of 0.8, requests to
 // the users' upstreams with two or three slots wait about as long as they are processed. The margin
@@ -127,8 +127,8 @@
 // cost returns the candidate's load per slot.
 func (c *Candidate) cost() float64 {
 	flows := float64(c.Load.Total())
-	if c.Cold {
-		flows += coldFlows
+	if c.WarmingUp {
+		flows += warmupFlows
 	}
 	return (flows + requestWeight*float64(c.Load.Requests.Load())) / float64(c.Route.Slots)
 }
--- a/internal/process/capacity/cookie.go
+++ b/internal/process/capacity/cookie.go
@@ -256,7 +256,7 @@
 		},
 		{
 			"cookie: without cells", "processor time of changed members, each a new view", "views are built only on change",
-			costAt("view", fleetDaemons) * (float64(restartsADay) + failuresADay) * viewsPerRestart / daySeconds, "µs/s", limitCPU,
+			costAt("view", fleetDaemons) * (float64(restartsPerDay) + failuresPerDay) * viewsPerRestart / daySeconds, "µs/s", limitCPU,
 			"fitted: view; mean of the day",
 		},
 		{
--- a/internal/process/capacity/rows.go
+++ b/internal/process/capacity/rows.go
@@ -7,9 +7,9 @@
 	serviceAddresses = 47_000
 	fleetFlows       = 140e6
 	fleetNewFlows    = 660e3
-	changesADay      = 23_000
-	restartsADay     = 25_000
-	failuresADay     = 350
+	changesPerDay    = 23_000
+	restartsPerDay   = 25_000
+	failuresPerDay   = 350
 	daySeconds       = 86_400.0
 )
 
@@ -125,7 +125,7 @@
 	flows := float64(flowsPerCell) * copiesPerFlow / cellMembers
 	placements := float64(newFlowsPerCell)
 	decideCost := costAt("decide", flows)
-	moved := flows / copiesPerFlow * (float64(restartsADay) + failuresADay) / fleetDaemons / daySeconds * cellMembers
+	moved := flows / copiesPerFlow * (float64(restartsPerDay) + failuresPerDay) / fleetDaemons / daySeconds * cellMembers
 	return []Row{
 		{
 			"home, backup, replicas", "flow records", "owner and one replica in each of three zones",
@@ -181,7 +181,7 @@
 		},
 		{
 			"platform", "writes", "one for each change",
-			changesADay / daySeconds, "calls/s", 300, "calculated",
+			changesPerDay / daySeconds, "calls/s", 300, "calculated",
 		},
 	}
 }
--- a/internal/process/cookiedaemon/advertisement.go
+++ b/internal/process/cookiedaemon/advertisement.go
@@ -76,7 +76,7 @@
 	n := &peer.Advertisement{
 		From:            origin,
 		Age:             now.Sub(confirmed),
-		SuspicionPeriod: c.state.catalog.RemovalSuspicion(now),
+		SuspicionPeriod: c.state.catalog.RemovalSuspicionLeft(now),
 		BundleAsOf:      c.state.bundleAsOf,
 		AsOf:            c.state.catalog.AsOf,
 		Digest:          c.state.catalog.Digest(),
--- a/internal/process/cookiedaemon/catalog.go
+++ b/internal/process/cookiedaemon/catalog.go
@@ -251,7 +251,7 @@
 		out.Deregistered = c.engine.DeregisteredDead()
 	}
 	out.AsOf, out.Digest = c.state.catalog.AsOf, c.state.catalog.Digest()
-	out.SuspicionPeriod = c.state.catalog.RemovalSuspicion(now)
+	out.SuspicionPeriod = c.state.catalog.RemovalSuspicionLeft(now)
 	confirmed := c.state.confirmedAll()
 	if confirmed.IsZero() {
 		return out, update
--- a/internal/process/cookiedaemon/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -180,7 +180,7 @@
 func (c *Daemon) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
 	c.mu.Lock()
 	for _, id := range ids {
-		c.engine.ReportedDead(id, now)
+		c.engine.NoteReportedDead(id, now)
 	}
 	due := c.engine.DueProbes(now)
 	c.mu.Unlock()
--- a/internal/process/cookiedaemon/members.go
+++ b/internal/process/cookiedaemon/members.go
@@ -264,7 +264,7 @@
 			klog.ErrorS(err, "Membership message can't be encoded")
 			continue
 		}
-		m.write(append([]byte{byte(protocolMembership)}, b...), e.To, e.FreshPort)
+		m.write(append([]byte{byte(protocolMembership)}, b...), e.To, e.NewPort)
 	}
 }
 
--- a/internal/process/daemon/control.go
+++ b/internal/process/daemon/control.go
@@ -117,7 +117,7 @@
 		klog.ErrorS(err, "Membership message could not be encoded")
 		return
 	}
-	if c.ports.Send(b, e.To, e.FreshPort) {
+	if c.ports.Send(b, e.To, e.NewPort) {
 		c.sent.Add(1)
 		c.sentBytes.Add(uint64(len(b)))
 	}
--- a/internal/standin/emulator/caller.go
+++ b/internal/standin/emulator/caller.go
@@ -78,9 +78,9 @@
 	if z.shiftTarget != nil && moves {
 		z = z.shiftTarget
 	}
-	r := &request{class: c, zone: z, asked: c.sim.now, triesLeft: c.Retries + 1, work: work}
+	r := &request{class: c, zone: z, asked: c.sim.now, attemptsLeft: c.Retries + 1, work: work}
 	c.sim.after(time.Duration(c.Deadline), r.timeOut)
-	r.startTry()
+	r.startAttempt()
 }
 
 // drawWork draws the processing time of a request from a lognormal distribution around the mean.
@@ -93,24 +93,24 @@
 	return time.Duration(d)
 }
 
-// request is one request of a caller, with all its tries.
+// request is one request of a caller, with all its attempts.
 type request struct {
 	class *class
 	zone  *zone
 	asked time.Duration
-	// triesLeft is the number of remaining tries.
-	triesLeft int
+	// attemptsLeft is the number of remaining attempts.
+	attemptsLeft int
 	// work is the processing time at an upstream that isn't slow.
-	work time.Duration
-	done bool
-	try  *try
+	work    time.Duration
+	done    bool
+	attempt *attempt
 }
 
-// startTry starts a try on an idle long flow or a new flow.
-func (r *request) startTry() {
-	r.triesLeft--
-	t := &try{request: r}
-	r.try = t
+// startAttempt starts an attempt on an idle long flow or a new flow.
+func (r *request) startAttempt() {
+	r.attemptsLeft--
+	t := &attempt{request: r}
+	r.attempt = t
 	p := r.class.pools[r.zone.index]
 	if r.class.Long {
 		if f := p.takeIdle(r.zone.Flows); f != nil {
@@ -147,19 +147,19 @@
 		return
 	}
 	r.end(outcomeFailed)
-	if t := r.try; !t.ended && t.flow != nil {
+	if t := r.attempt; !t.ended && t.flow != nil {
 		t.ended = true
 		t.flow.close()
 	}
 }
 
-// retry starts another try if one is left and the request may be repeated. Otherwise it ends the
-// request with the outcome of the last try.
+// retry starts another attempt if one is left and the request may be repeated. Otherwise it ends the
+// request with the outcome of the last attempt.
 func (r *request) retry(surelyNotRun bool, last outcome) {
 	switch {
 	case r.done:
-	case r.triesLeft > 0 && (surelyNotRun || r.class.Idempotent):
-		r.startTry()
+	case r.attemptsLeft > 0 && (surelyNotRun || r.class.Idempotent):
+		r.startAttempt()
 	default:
 		r.end(last)
 	}
@@ -170,18 +170,18 @@
 	r.class.sim.result.record(r, o)
 }
 
-// try is one attempt at a request.
-type try struct {
+// attempt is one attempt to get a request answered, on one flow.
+type attempt struct {
 	request *request
 	flow    *flow
 	// sent says that the request was sent, arrived that an upstream received it, ended that the
-	// try is finished.
+	// attempt is finished.
 	sent, arrived, ended bool
 }
 
-// send sends the request on an open flow, and retransmits it up to three times while the try lasts.
-func (t *try) send(f *flow) {
-	t.flow, f.try, t.sent = f, t, true
+// send sends the request on an open flow, and retransmits it up to three times while the attempt lasts.
+func (t *attempt) send(f *flow) {
+	t.flow, f.attempt, t.sent = f, t, true
 	seq := f.seq
 	f.seq += requestBytes
 	packet := cookie.Packet{Flags: cookie.FlagACK, Seq: seq, Ack: f.ack, Length: requestBytes}
@@ -202,13 +202,13 @@
 )
 
 // answered handles the complete answer and acknowledges it.
-func (t *try) answered() {
+func (t *attempt) answered() {
 	if t.ended || t.flow.closed {
 		return
 	}
 	t.ended = true
 	f := t.flow
-	f.try = nil
+	f.attempt = nil
 	f.ack += answerBytes
 	if t.request.class.Long {
 		f.send(cookie.Packet{Flags: cookie.FlagACK, Seq: f.seq, Ack: f.ack})
@@ -229,13 +229,13 @@
 }
 
 // refused handles the answer that the upstream has no free capacity.
-func (t *try) refused() {
+func (t *attempt) refused() {
 	if t.ended || t.flow.closed {
 		return
 	}
 	t.ended = true
 	f := t.flow
-	f.try = nil
+	f.attempt = nil
 	if t.request.class.Long {
 		f.release()
 	} else {
--- a/internal/standin/emulator/flow.go
+++ b/internal/standin/emulator/flow.go
@@ -21,15 +21,15 @@
 	incarnation int
 	opened      bool
 	closed      bool
-	// try is the try in progress, nil if the flow is idle.
-	try *try
+	// attempt is the attempt in progress, nil if the flow is idle.
+	attempt *attempt
 }
 
-// openFlow starts to open a flow for a try.
-func (sim *simulation) openFlow(t *try) {
+// openFlow starts to open a flow for an attempt.
+func (sim *simulation) openFlow(t *attempt) {
 	sim.result.flowCount++
 	n := sim.result.flowCount
-	f := &flow{sim: sim, zone: t.request.zone, class: t.request.class, try: t, seq: 1, ack: 1}
+	f := &flow{sim: sim, zone: t.request.zone, class: t.request.class, attempt: t, seq: 1, ack: 1}
 	t.flow = f
 	at := routeAddress(f.class.index)
 	f.key = cookie.Key{ServiceIP: at.Addr().As4(), ServicePort: at.Port(), CallerPort: uint16(n)}
@@ -68,8 +68,8 @@
 	f.opened, f.server, f.incarnation = true, s, incarnation
 	f.cookie = cookie.Of(s.id)
 	s.flows[f] = true
-	if f.try != nil && !f.try.request.done {
-		f.try.send(f)
+	if f.attempt != nil && !f.attempt.request.done {
+		f.attempt.send(f)
 		return
 	}
 	f.send(cookie.Packet{Flags: cookie.FlagACK, Seq: f.seq, Ack: f.ack})
@@ -107,7 +107,7 @@
 	if f.closed {
 		return
 	}
-	t := f.try
+	t := f.attempt
 	opened := f.opened
 	f.close()
 	if t == nil || t.ended {
--- a/internal/standin/emulator/host.go
+++ b/internal/standin/emulator/host.go
@@ -263,7 +263,7 @@
 		if o != h && o.ready {
 			h.sim.after(h.sim.networkDelay(h.zone, h.zone), func() {
 				for _, id := range ids {
-					o.engine.ReportedDead(id, h.sim.wallTime())
+					o.engine.NoteReportedDead(id, h.sim.wallTime())
 				}
 			})
 		}
--- a/internal/standin/emulator/server.go
+++ b/internal/standin/emulator/server.go
@@ -29,7 +29,7 @@
 	revision               objects.Position
 	flows                  map[*flow]bool
 	working                int
-	queue                  []*try
+	queue                  []*attempt
 	// arrivals counts requests that arrived, shed those that were rejected.
 	arrivals, shed int
 }
@@ -108,7 +108,7 @@
 	case p.Flags.Has(cookie.FlagFIN):
 		delete(s.flows, f)
 	case p.Length > 0:
-		s.admit(f.try)
+		s.admit(f.attempt)
 	}
 }
 
@@ -123,7 +123,7 @@
 }
 
 // admit processes or queues a request. If the queue is full, it sheds one.
-func (s *server) admit(t *try) {
+func (s *server) admit(t *attempt) {
 	if t == nil || t.arrived {
 		return // A retransmission.
 	}
@@ -144,13 +144,13 @@
 	}
 }
 
-func (s *server) refuse(t *try) {
+func (s *server) refuse(t *attempt) {
 	s.shed++
 	s.sim.result.recordShed(s)
 	s.sim.after(time.Duration(s.sim.pattern.Delays.Caller), t.refused)
 }
 
-func (s *server) work(t *try) {
+func (s *server) work(t *attempt) {
 	s.working++
 	d := t.request.work
 	if s.sim.now < s.warmupStart+s.warmup {
--- a/internal/version/registry/catalog.go
+++ b/internal/version/registry/catalog.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// RemovalSuspicion returns for how much longer removed entries are kept in use, zero if they aren't.
-func (c *Catalog) RemovalSuspicion(now time.Time) time.Duration {
+// RemovalSuspicionLeft returns for how much longer removed entries are kept in use, zero if they aren't.
+func (c *Catalog) RemovalSuspicionLeft(now time.Time) time.Duration {
 	return max(0, c.suspectUntil.Sub(now))
 }
 
--- a/internal/version/registry/catalog_test.go
+++ b/internal/version/registry/catalog_test.go
@@ -302,12 +302,12 @@
 		c := filled(12)
 		c.Apply(overwritten(6), 110, start)
 		c.Replace(entries(12)[:9], 120, start)
-		Expect(c.RemovalSuspicion(start)).NotTo(BeZero())
+		Expect(c.RemovalSuspicionLeft(start)).NotTo(BeZero())
 
 		c = filled(12)
 		c.Apply(overwritten(6), 110, start)
 		c.Replace(entries(12)[6:], 120, start)
-		Expect(c.RemovalSuspicion(start)).To(BeZero(), "the other program removed its entries again")
+		Expect(c.RemovalSuspicionLeft(start)).To(BeZero(), "the other program removed its entries again")
 	})
 
 	// An entry expired while the store was unavailable. What is then written under its name is another
