--- a/internal/connection/caller/refresh.go
+++ b/internal/connection/caller/refresh.go
@@ -72,7 +72,7 @@
 // forwardRefresh sends a packet to the next member that keeps a replica, or delivers it if
 // there is none.
 func (e *Engine) forwardRefresh(w *packetWork) Cause {
-	if e.sendToNextReplica(w) {
+	if e.sendToNextMember(w) {
 		return CauseNone
 	}
 	return e.deliver(w, w.p.Header.Hop.Upstream)
--- a/internal/process/cookiedaemon/advertisement.go
+++ b/internal/process/cookiedaemon/advertisement.go
@@ -76,7 +76,7 @@
 	a := &peer.Advertisement{
 		From:            origin,
 		Age:             now.Sub(confirmed),
-		SuspicionPeriod: d.state.catalog.RemovalSuspicion(now),
+		SuspicionPeriod: d.state.catalog.RemovalSuspicionLeft(now),
 		BundleAsOf:      d.state.bundleAsOf,
 		AsOf:            d.state.catalog.AsOf,
 		Digest:          d.state.catalog.Digest(),
--- a/internal/process/cookiedaemon/catalog.go
+++ b/internal/process/cookiedaemon/catalog.go
@@ -255,7 +255,7 @@
 		out.Deregistered = d.engine.DeregisteredDead()
 	}
 	out.AsOf, out.Digest = d.state.catalog.AsOf, d.state.catalog.Digest()
-	out.SuspicionPeriod = d.state.catalog.RemovalSuspicion(now)
+	out.SuspicionPeriod = d.state.catalog.RemovalSuspicionLeft(now)
 	confirmed := d.state.confirmedAll()
 	if confirmed.IsZero() {
 		return out, update
--- a/internal/process/cookiedaemon/loads.go
+++ b/internal/process/cookiedaemon/loads.go
@@ -184,7 +184,7 @@
 func (d *Daemon) probeSuspects(ids []bundle.UpstreamID, now time.Time) {
 	d.mu.Lock()
 	for _, id := range ids {
-		d.engine.ReportedDead(id, now)
+		d.engine.NoteReportedDead(id, now)
 	}
 	due := d.engine.DueProbes(now)
 	d.mu.Unlock()
