--- a/internal/standin/jsonrpc/jsonrpc.go
+++ b/internal/standin/jsonrpc/jsonrpc.go
@@ -66,7 +66,7 @@
 // NewClient returns a client that writes to w and reads from r.
 func NewClient(ctx context.Context, r io.Reader, w io.WriteCloser) *Client {
 	h := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-		return nil, eris.New("the client accepts no calls")
+		return nil, eris.New("no calls are taken here")
 	})
 	return &Client{conn: connect(ctx, r, w, h)}
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -149,7 +149,7 @@
 func (s *Service) servePut(w http.ResponseWriter, r *http.Request, key string) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, platform.MaxObjectBytes+1))
 	if err != nil || len(body) > platform.MaxObjectBytes {
-		http.Error(w, "the object exceeds the size limit or its body ended early", http.StatusRequestEntityTooLarge)
+		http.Error(w, "the object is too large or was cut off", http.StatusRequestEntityTooLarge)
 		return
 	}
 	s.mu.Lock()
@@ -157,7 +157,7 @@
 	old := s.objects[key]
 	if !preconditionHolds(r, old.Version) {
 		s.mu.Unlock()
-		http.Error(w, "the object's version doesn't meet the precondition", http.StatusPreconditionFailed)
+		http.Error(w, "the object has another version", http.StatusPreconditionFailed)
 		return
 	}
 	next := old.Version + 1
