--- a/cmd/fescueshed/experiment.go
+++ b/cmd/fescueshed/experiment.go
@@ -113,7 +113,7 @@
 	}
 	src, err := os.ReadFile(name)
 	if err != nil {
-		return nil, eris.Wrap(err, "pattern")
+		return nil, eris.Wrap(err, "read pattern file")
 	}
 	return emulator.DecodePattern(name, src)
 }
@@ -140,11 +140,11 @@
 	}
 	f, err := os.Create(c.Page)
 	if err != nil {
-		return eris.Wrap(err, "page")
+		return eris.Wrap(err, "create page file")
 	}
 	if err := r.WritePage(f); err != nil {
 		_ = f.Close() // Report the first error.
 		return err
 	}
-	return eris.Wrap(f.Close(), "page")
+	return eris.Wrap(f.Close(), "close page file")
 }
--- a/cmd/fescueshed/explain.go
+++ b/cmd/fescueshed/explain.go
@@ -41,7 +41,7 @@
 	}
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, eris.Wrap(err, "explain")
+		return nil, eris.Wrap(err, "open log file")
 	}
 	defer func() { _ = f.Close() }() // The file was opened for reading only.
 	return flowtrace.Parse(f, strings.TrimSuffix(filepath.Base(name), filepath.Ext(name)))
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -68,7 +68,7 @@
 	failed := 0
 	for i := range c.Seeds {
 		if ctx.Err() != nil {
-			return failed, eris.Wrap(ctx.Err(), "soak")
+			return failed, eris.Wrap(ctx.Err(), "soak: interrupted")
 		}
 		broken, err := c.runSeed(ctx, binary, c.Seed+uint64(i))
 		if err != nil {
--- a/cmd/try/cookie.go
+++ b/cmd/try/cookie.go
@@ -36,7 +36,7 @@
 	}
 	dir, err := os.MkdirTemp("", "fescueshed-try-")
 	if err != nil {
-		return eris.Wrap(err, "try")
+		return eris.Wrap(err, "try: create temporary directory")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	w, closeWorld, err := world.New(ctx, world.Options{
--- a/cmd/try/failure.go
+++ b/cmd/try/failure.go
@@ -294,7 +294,7 @@
 	}
 	src, err := json.Marshal(b)
 	if err != nil {
-		return eris.Wrap(err, "bundle")
+		return eris.Wrap(err, "bundle: encode")
 	}
 	return t.rollContent(ctx, src)
 }
--- a/cmd/try/roll.go
+++ b/cmd/try/roll.go
@@ -15,7 +15,7 @@
 func (t *trial) roll(ctx context.Context) error {
 	src, err := json.MarshalIndent(t.deploy.bundle(), "", "  ")
 	if err != nil {
-		return eris.Wrap(err, "bundle")
+		return eris.Wrap(err, "bundle: encode")
 	}
 	return t.rollContent(ctx, append([]byte("// First bundle of the trial.\n"), src...))
 }
@@ -24,7 +24,7 @@
 func (t *trial) rollContent(ctx context.Context, src []byte) error {
 	file := func(name string) string { return filepath.Join(t.dir, name) }
 	if err := os.WriteFile(file("bundle.hujson"), src, fileMode); err != nil {
-		return eris.Wrap(err, "bundle")
+		return eris.Wrap(err, "bundle: write file")
 	}
 	at := "--platform=http://" + platformAddress().String()
 	for _, args := range [][]string{
--- a/cmd/try/run.go
+++ b/cmd/try/run.go
@@ -49,7 +49,7 @@
 	}
 	dir, err := os.MkdirTemp("", "fescueshed-try-")
 	if err != nil {
-		return eris.Wrap(err, "try")
+		return eris.Wrap(err, "try: create temporary directory")
 	}
 	if c.Keep {
 		fmt.Println("Logs and settings are kept in", dir)
@@ -82,7 +82,7 @@
 	if t.opts.JSON {
 		b, err := json.Marshal(r)
 		if err != nil {
-			return eris.Wrap(err, "try")
+			return eris.Wrap(err, "try: encode report")
 		}
 		fmt.Printf("%s\n", b)
 	}
--- a/internal/connection/caller/sweep.go
+++ b/internal/connection/caller/sweep.go
@@ -39,7 +39,7 @@
 		return out, SweepResult{Complete: true}
 	}
 	s := sweep{e: e, view: e.view.Load(), routing: t, now: e.seconds(now), budget: budget, out: out}
-	e.Flows.Visit(shard, s.visit)
+	e.Flows.Visit(shard, s.handleRecord)
 	result := SweepResult{AwaitingConfirmation: s.awaiting, Sent: budget - s.budget, Complete: !s.exhausted}
 	return e.expire(now, shard, s.out), result
 }
@@ -58,7 +58,7 @@
 	out       []Output
 }
 
-func (s *sweep) visit(k *Key, r *Record) bool {
+func (s *sweep) handleRecord(k *Key, r *Record) bool {
 	svc := s.routing.Service(k.VNI())
 	if svc == nil || s.isIdle(svc, r) {
 		if r.Flags&RecordCounted != 0 {
--- a/internal/connection/peer/membership.go
+++ b/internal/connection/peer/membership.go
@@ -54,18 +54,18 @@
 )
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.ProbePeriod, DefaultProbePeriod)
-	setDefault(&c.ProbeTimeout, DefaultProbeTimeout)
-	setDefault(&c.SuspectTimeout, DefaultSuspectTimeout)
-	setDefault(&c.Helpers, DefaultHelpers)
-	setDefault(&c.LostWindow, DefaultLostWindow)
-	setDefault(&c.RecentWindow, DefaultRecentWindow)
-	setDefault(&c.GossipCopies, DefaultGossipCopies)
-	setDefault(&c.Updates, DefaultUpdates)
+	setIfZero(&c.ProbePeriod, DefaultProbePeriod)
+	setIfZero(&c.ProbeTimeout, DefaultProbeTimeout)
+	setIfZero(&c.SuspectTimeout, DefaultSuspectTimeout)
+	setIfZero(&c.Helpers, DefaultHelpers)
+	setIfZero(&c.LostWindow, DefaultLostWindow)
+	setIfZero(&c.RecentWindow, DefaultRecentWindow)
+	setIfZero(&c.GossipCopies, DefaultGossipCopies)
+	setIfZero(&c.Updates, DefaultUpdates)
 	return c
 }
 
-func setDefault[T comparable](v *T, def T) {
+func setIfZero[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
 		*v = def
--- a/internal/connection/peer/rpc.go
+++ b/internal/connection/peer/rpc.go
@@ -56,7 +56,7 @@
 ) (T, *transfer.Transfer, error) {
 	ctx, t := counts.Begin(ctx, l)
 	out, err := callRPC[T](ctx, to, call, t)
-	return out, t, eris.Wrap(t.End(err), "rpc")
+	return out, t, eris.Wrap(t.End(err), "rpc: call another daemon")
 }
 
 // RPC is a call: a method and its parameters.
--- a/internal/connection/peer/sum.go
+++ b/internal/connection/peer/sum.go
@@ -30,11 +30,11 @@
 	for _, r := range reports {
 		for i := range r.Loads {
 			l := &r.Loads[i]
-			loads[l.Cookie] = l.plus(loads[l.Cookie])
+			loads[l.Cookie] = l.add(loads[l.Cookie])
 		}
 		for i := range r.Services {
 			s := &r.Services[i]
-			services[s.Service] = s.plus(services[s.Service])
+			services[s.Service] = s.add(services[s.Service])
 		}
 		for _, d := range r.Dead {
 			if !slices.Contains(out.Dead, d) && len(out.Dead) < MaxDead {
@@ -60,13 +60,13 @@
 	return list[:min(len(list), MaxLoads)]
 }
 
-func (l *Load) plus(o Load) Load {
+func (l *Load) add(o Load) Load {
 	return Load{
 		Cookie: l.Cookie, Flows: l.Flows + o.Flows, Answered: l.Answered + o.Answered, Failed: l.Failed + o.Failed,
 	}
 }
 
-func (s *ServiceLoad) plus(o ServiceLoad) ServiceLoad {
+func (s *ServiceLoad) add(o ServiceLoad) ServiceLoad {
 	return ServiceLoad{
 		Service: s.Service, Flows: s.Flows + o.Flows, Requests: s.Requests + o.Requests,
 		Answered: s.Answered + o.Answered, Failed: s.Failed + o.Failed,
--- a/internal/process/cookiedaemon/catalog.go
+++ b/internal/process/cookiedaemon/catalog.go
@@ -128,7 +128,7 @@
 	left, ok := m.pullLines.Allow(time.Now())
 	m.mu.Unlock()
 	if ok {
-		klog.InfoS("Catalog incomplete", "From", from, "After", after, "Bytes", got, "Error", err.Error(), "LeftOut", left)
+		klog.InfoS("Catalog broke off", "From", from, "After", after, "Bytes", got, "Error", err.Error(), "LeftOut", left)
 	}
 }
 
@@ -221,7 +221,7 @@
 		}
 	}
 	sealed, err := m.catalog.Encode(out)
-	return sealed, eris.Wrap(err, "catalog")
+	return sealed, eris.Wrap(err, "catalog: encode")
 }
 
 // membersFor returns the members to send to a joining daemon.
--- a/internal/process/cookiedaemon/contacts.go
+++ b/internal/process/cookiedaemon/contacts.go
@@ -87,7 +87,7 @@
 // findMembers contacts the daemons that the contacts in the store name, if there are any.
 func (c *contacts) findMembers(ctx context.Context) {
 	if err := c.read(ctx); err != nil {
-		klog.InfoS("No contacts in the store", "Error", err.Error())
+		klog.InfoS("Contacts not read from the store", "Error", err.Error())
 		return
 	}
 	c.ping()
--- a/internal/process/cookiedaemon/epoch.go
+++ b/internal/process/cookiedaemon/epoch.go
@@ -79,7 +79,7 @@
 	}
 	f.daemon.outdatedAnswers[f.kind].Add(1)
 	if left, ok := f.outdatedLimiter.Allow(now); ok {
-		klog.InfoS("Store answer is outdated", "Kind", f.kind, "AsOf", asOf, "Known", before, "LeftOut", left)
+		klog.InfoS("Store's answer is outdated", "Kind", f.kind, "AsOf", asOf, "Known", before, "LeftOut", left)
 	}
 	return eris.Wrapf(objects.ErrOutdated, "%v as of %v, known as of %v", f.kind, asOf, before)
 }
--- a/internal/process/cookiedaemon/evacuation.go
+++ b/internal/process/cookiedaemon/evacuation.go
@@ -79,7 +79,7 @@
 	}
 	for _, zone := range before {
 		if !slices.Contains(zones, zone) {
-			d.logEvacuation("Zone evacuation ended", zone, from)
+			d.logEvacuation("Zone taken back", zone, from)
 		}
 	}
 }
--- a/internal/process/cookiedaemon/follower.go
+++ b/internal/process/cookiedaemon/follower.go
@@ -101,7 +101,7 @@
 			}
 			lostHistories++
 		case asOf != 0 && f.shouldRelist(err, began):
-			klog.InfoS("Store can't be watched, listing instead", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
+			klog.InfoS("Store can't be watched, it is listed", "Kind", f.kind, "AsOf", asOf, "Error", err.Error())
 			asOf, f.listing, f.fresh = 0, nil, true
 		default:
 			if eris.Is(err, objects.ErrOutdated) {
--- a/internal/process/cookiedaemon/probe.go
+++ b/internal/process/cookiedaemon/probe.go
@@ -80,7 +80,7 @@
 	p.daemon.engine.CheckDone(accepted, now)
 	due := p.daemon.engine.DueProbes(now)
 	p.daemon.mu.Unlock()
-	klog.InfoS("No answer from any upstream, checked one of another zone",
+	klog.InfoS("Nobody was heard, an upstream of another zone was asked",
 		"Upstream", u.Address, "Zone", u.Zone, "Accepted", accepted, "ProbedNext", len(due))
 	p.send(due)
 }
@@ -164,7 +164,7 @@
 	p.send(due)
 	if len(found) > 0 {
 		d.members.announceDead(found)
-		klog.InfoS("Upstreams of a zone don't answer", "Zone", pr.Upstream.Zone, "Upstreams", len(found), "FlowsReset", len(resets),
+		klog.InfoS("Upstreams of a zone are silent", "Zone", pr.Upstream.Zone, "Upstreams", len(found), "FlowsReset", len(resets),
 			"ProbedNext", len(due))
 	}
 }
--- a/internal/process/cookiedaemon/start.go
+++ b/internal/process/cookiedaemon/start.go
@@ -163,7 +163,7 @@
 		err = o.Err
 	}
 	if err != nil {
-		klog.InfoS("No contacts in the store", "Error", err.Error())
+		klog.InfoS("Contacts not read from the store, no larger member is known", "Error", err.Error())
 		return nil
 	}
 	return o.Value.LargerInZone(self.Zone, self.Size)
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -136,7 +136,7 @@
 
 // ErrLeaveTimeout is returned by Leave if the daemon could not hand over its records
 // within LeaveTimeout.
-var ErrLeaveTimeout = eris.New("daemon: leaving timed out")
+var ErrLeaveTimeout = eris.New("daemon: the time to leave ran out")
 
 // Leave shuts the daemon down gracefully: the daemon stops owning flows, hands its
 // records over to other members, lets requests in progress complete, and forwards
--- a/internal/process/daemon/evacuation.go
+++ b/internal/process/daemon/evacuation.go
@@ -36,7 +36,7 @@
 	}
 	for z := range e.since {
 		if _, ok := next[z]; !ok {
-			klog.InfoS("Zone evacuation ended", "Zone", z, "Version", v)
+			klog.InfoS("Zone taken back", "Zone", z, "Version", v)
 		}
 	}
 	e.since = next
--- a/internal/process/experiment/experiment.go
+++ b/internal/process/experiment/experiment.go
@@ -94,7 +94,7 @@
 	close(jobs)
 	wg.Wait()
 	if err := ctx.Err(); err != nil {
-		return eris.Wrap(err, "experiment")
+		return eris.Wrap(err, "experiment: not all simulations ran")
 	}
 	return r.err
 }
--- a/internal/process/operator/bundle.go
+++ b/internal/process/operator/bundle.go
@@ -20,7 +20,7 @@
 func Prepare(ctx context.Context, c *platform.Client, by, from, to string) (*bundle.Signed, error) {
 	src, err := os.ReadFile(from)
 	if err != nil {
-		return nil, eris.Wrap(err, "bundle")
+		return nil, eris.Wrap(err, "bundle: read file")
 	}
 	if _, err := bundle.Decode(from, src); err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	s := head.Successor(by, rand.Text(), src)
-	return s, eris.Wrap(os.WriteFile(to, s.Encode(), fileMode), "bundle")
+	return s, eris.Wrap(os.WriteFile(to, s.Encode(), fileMode), "bundle: write file")
 }
 
 // Approve signs the prepared bundle in file from with the approver's key and writes it to file to.
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return signed, eris.Wrap(os.WriteFile(to, signed.Encode(), fileMode), "bundle")
+	return signed, eris.Wrap(os.WriteFile(to, signed.Encode(), fileMode), "bundle: write file")
 }
 
 // Roll puts the approved bundle in file from in force.
@@ -69,8 +69,8 @@
 func readSigned(file string) (*bundle.Signed, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "bundle")
+		return nil, eris.Wrap(err, "bundle: read file")
 	}
 	s, err := bundle.DecodeSigned(b)
-	return s, eris.Wrapf(err, "bundle: %s", file)
+	return s, eris.Wrapf(err, "bundle: decode %s", file)
 }
--- a/internal/process/operator/keys.go
+++ b/internal/process/operator/keys.go
@@ -29,40 +29,40 @@
 func NewKey(name, file string) (*KeyFile, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "key")
+		return nil, eris.Wrap(err, "key: generate")
 	}
 	k := &KeyFile{Name: name, Private: private}
 	b, err := json.Marshal(k)
 	if err != nil {
-		return nil, eris.Wrap(err, "key")
+		return nil, eris.Wrap(err, "key: encode")
 	}
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
-		return nil, eris.Wrap(err, "key")
+		return nil, eris.Wrap(err, "key: create file")
 	}
 	if _, err := f.Write(b); err != nil {
 		_ = f.Close()
-		return nil, eris.Wrap(err, "key")
+		return nil, eris.Wrap(err, "key: write file")
 	}
-	return k, eris.Wrap(f.Close(), "key")
+	return k, eris.Wrap(f.Close(), "key: close file")
 }
 
 // LoadKey reads a key file. It rejects one that users other than its owner have any access to.
 func LoadKey(file string) (*KeyFile, error) {
 	info, err := os.Stat(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "key")
+		return nil, eris.Wrap(err, "key: check permissions of file")
 	}
 	if info.Mode().Perm()&nonOwnerPermissions != 0 {
 		return nil, eris.Errorf("key: %s has mode %o, which gives other users access; want 600", file, info.Mode().Perm())
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "key")
+		return nil, eris.Wrap(err, "key: read file")
 	}
 	var k KeyFile
 	if err := json.Unmarshal(b, &k); err != nil {
-		return nil, eris.Wrapf(err, "key: %s", file)
+		return nil, eris.Wrapf(err, "key: decode %s", file)
 	}
 	if k.Name == "" || len(k.Private) != ed25519.PrivateKeySize {
 		return nil, eris.Errorf("key: %s has no name or no valid private key", file)
--- a/internal/process/operator/zone.go
+++ b/internal/process/operator/zone.go
@@ -98,7 +98,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return false, eris.Wrap(err, "zone")
+			return false, eris.Wrap(err, "zone: evacuation not changed in time")
 		case <-time.After(zoneRetryDelay):
 		}
 	}
--- a/internal/process/settings/cookie.go
+++ b/internal/process/settings/cookie.go
@@ -78,7 +78,7 @@
 func (s *Secret) UnmarshalText(b []byte) error {
 	v, err := base64.StdEncoding.DecodeString(string(b))
 	*s = v
-	return eris.Wrap(err, "want base64")
+	return eris.Wrap(err, "secret isn't valid base64")
 }
 
 // CookieDefaults returns the default settings of a daemon that forwards flows by cookie.
--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -95,7 +95,7 @@
 func load[T any](file string, decode func(string, []byte) (*T, error)) (*T, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "settings")
+		return nil, eris.Wrap(err, "settings: read file")
 	}
 	return decode(file, src)
 }
--- a/internal/process/status/burn.go
+++ b/internal/process/status/burn.go
@@ -34,7 +34,7 @@
 		for _, r := range after[i].Requests {
 			sum := findOrAppend(&out, func(b *BurnRate) bool { return b.Service == r.Service })
 			sum.Service = r.Service
-			sum.RequestStatus = sum.plus(r.since(old))
+			sum.RequestStatus = sum.add(r.since(old))
 		}
 	}
 	for i := range out {
@@ -77,7 +77,7 @@
 	return r
 }
 
-func (r RequestStatus) plus(o RequestStatus) RequestStatus {
+func (r RequestStatus) add(o RequestStatus) RequestStatus {
 	return RequestStatus{
 		Service: o.Service, InTime: r.InTime + o.InTime, Late: r.Late + o.Late,
 		Failed: r.Failed + o.Failed, Refused: r.Refused + o.Refused, Unknown: r.Unknown + o.Unknown,
--- a/internal/process/status/status.go
+++ b/internal/process/status/status.go
@@ -115,16 +115,16 @@
 func Fetch(ctx context.Context, address string) (*Status, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, http.NoBody)
 	if err != nil {
-		return nil, eris.Wrap(err, "status")
+		return nil, eris.Wrap(err, "status: create request")
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return nil, eris.Wrap(err, "status")
+		return nil, eris.Wrap(err, "status: send request")
 	}
 	defer func() { _ = resp.Body.Close() }() // The body was only read, so an error has no consequence.
 	if resp.StatusCode != http.StatusOK {
 		return nil, eris.Errorf("status: %s: HTTP status %s", address, resp.Status)
 	}
 	var s Status
-	return &s, eris.Wrapf(json.NewDecoder(resp.Body).Decode(&s), "status: %s", address)
+	return &s, eris.Wrapf(json.NewDecoder(resp.Body).Decode(&s), "status: decode response of %s", address)
 }
--- a/internal/request/coap/coap.go
+++ b/internal/request/coap/coap.go
@@ -132,7 +132,7 @@
 	buf := make([]byte, replyBytes)
 	n, err := coder.DefaultCoder.Encode(r, buf)
 	if err != nil {
-		return nil, eris.Wrap(err, "coap")
+		return nil, eris.Wrap(err, "coap: encode message")
 	}
 	return buf[:n], nil
 }
--- a/internal/request/ip/ip.go
+++ b/internal/request/ip/ip.go
@@ -210,10 +210,10 @@
 	opts := gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
 	network := networkLayer(src.Addr(), dst.Addr(), proto)
 	if err := t.SetNetworkLayerForChecksum(network); err != nil {
-		return nil, eris.Wrap(err, "ip")
+		return nil, eris.Wrap(err, "ip: prepare checksum")
 	}
 	err := gopacket.SerializeLayers(buf, opts, network.(gopacket.SerializableLayer), t, gopacket.Payload(payload))
-	return buf.Bytes(), eris.Wrap(err, "ip")
+	return buf.Bytes(), eris.Wrap(err, "ip: build packet")
 }
 
 func networkLayer(src, dst netip.Addr, proto Protocol) gopacket.NetworkLayer {
--- a/internal/version/bundle/units.go
+++ b/internal/version/bundle/units.go
@@ -47,7 +47,7 @@
 	}
 	v, err := time.ParseDuration(s)
 	if err != nil {
-		return eris.Wrap(err, "duration")
+		return eris.Wrap(err, "parse duration")
 	}
 	*d = Duration(v)
 	return nil
--- a/internal/version/bundle/update.go
+++ b/internal/version/bundle/update.go
@@ -29,7 +29,7 @@
 
 // ErrUpdateMismatch is returned for an update that doesn't start from the present bundle, or whose result differs from
 // its maker's bundle.
-var ErrUpdateMismatch = eris.New("bundle: update doesn't match this bundle")
+var ErrUpdateMismatch = eris.New("bundle: the update doesn't lead on from this bundle")
 
 // FullUpdate returns the update that holds a whole bundle.
 func FullUpdate(a Accepted) *Update {
--- a/internal/version/objects/client.go
+++ b/internal/version/objects/client.go
@@ -48,7 +48,7 @@
 	// ErrDeclined is returned for an answer whose size AcceptSize refused.
 	ErrDeclined = eris.New("objects: answer declined because of its size")
 	// ErrTooLarge is returned for an answer of more than MaxBytes.
-	ErrTooLarge = eris.New("objects: answer exceeds the size limit")
+	ErrTooLarge = eris.New("objects: the answer is too large")
 )
 
 // Answer is a store's HTTP response.
--- a/internal/version/transfer/transfer.go
+++ b/internal/version/transfer/transfer.go
@@ -34,7 +34,7 @@
 
 // ErrStalled is the cause of the end of a transfer that exceeded one of its limits: it didn't begin, stopped or
 // took too long.
-var ErrStalled = eris.New("transfer: aborted at a time limit")
+var ErrStalled = eris.New("transfer: nothing arrives any more")
 
 // Transfer is one answer in progress. Bytes is safe for concurrent use. Begin, the use of the Reader and End must
 // follow each other.
